--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -12,7 +12,7 @@
     decode_message,
     encode_message,
 )
-from hyssopspring.traffic.decisions import Ask
+from hyssopspring.traffic.decisions import PlacementQuery
 from hyssopspring.traffic.members import Member, Members, Report
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
@@ -101,16 +101,16 @@
         lambda now: {"north"},
     )
     for n in range(servers * tickets):
-        placer.place(make_ask(n), 0.0)
-    for key in list(placer.tickets):
+        placer.place(make_query(n), 0.0)
+    for key in list(placer.placements):
         placer.note_start(*key, 0.1, 0.1)
     return placer
 
 
-def make_ask(number):
+def make_query(number):
     """Return the ask of one request."""
     parts = ((f"a{number % 4}", 2520), (f"b{number % 100}", 3780))
-    return Ask(
+    return PlacementQuery(
         host="h",
         number=number,
         service="engine",
@@ -127,10 +127,10 @@
     for servers in (5, 35, 70, 135):
         for tickets in (0, 16):
             placer = make_placer(servers, tickets)
-            ask = make_ask(1_000_000)
+            query = make_query(1_000_000)
 
-            def work(placer=placer, ask=ask):
-                placer.place(ask, 1.0)
+            def work(placer=placer, query=query):
+                placer.place(query, 1.0)
 
             spent = best(work, 200)
             print(f"place, {servers} servers of {tickets}: {spent:.0f} us")
--- a/src/hyssopspring/entry/admission.py
+++ b/src/hyssopspring/entry/admission.py
@@ -92,6 +92,6 @@
     """
     if workspace.limit is NOTHING:
         return 0
-    if facts.tokens is INVALID and not workspace.limit.by_request:
+    if facts.tokens is INVALID and not workspace.limit.counts_requests:
         return INVALID
     return workspace.limit.count(facts.tokens)
--- a/src/hyssopspring/entry/asking.py
+++ b/src/hyssopspring/entry/asking.py
@@ -7,7 +7,13 @@
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.decisions import Ask, Away, Limited, Placed, Refused
+from ..traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+    Refused,
+)
 from ..traffic.evidence import Finding
 from ..traffic.servers import Usability
 from ..traffic.work import Demand
@@ -51,14 +57,14 @@
     """A question that waits for its answer.
 
     Attributes:
-        ask: The `Ask`.
+        ask: The `PlacementQuery`.
         member: `Member` that was asked.
         done: Deferred of the answer.
         asked_at: Time by the clock that counts suspension.
         timer: Pending call that gives up, or `NOTHING`.
     """
 
-    ask: Ask
+    ask: PlacementQuery
     member: object
     done: object
     asked_at: float
@@ -142,7 +148,7 @@
         """Return the number and the decision for a request.
 
         Args:
-            ask: The `Ask`; its host and number are set here.
+            ask: The `PlacementQuery`; its host and number are set here.
         """
         self.number += 1
         number = self.number
@@ -151,7 +157,7 @@
         return number, self.until_first_back(ask, decision)
 
     def without_resting(self, ask):
-        """Return an `Ask` that leaves out the servers at rest."""
+        """Return an `PlacementQuery` that leaves out the servers at rest."""
         resting = self.rests.closed(self.clock.seconds())
         if not resting:
             return ask
@@ -258,7 +264,7 @@
         if isinstance(decision, Placed):
             self.work[number] = OpenWork(decision, ask.demand, placer)
             self.rests.count(decision.server_id, self.clock.seconds())
-        elif isinstance(decision, Away) and ask.cost:
+        elif isinstance(decision, PlacedRemotely) and ask.cost:
             self.sent_away[number] = placer
 
     def is_usable(self, decision):
@@ -464,10 +470,10 @@
 
 
 def ask_message(ask, *, second=False, strayed=False):
-    """Return the message of an `Ask`.
+    """Return the message of an `PlacementQuery`.
 
     Args:
-        ask: The `Ask`.
+        ask: The `PlacementQuery`.
         second: Whether the host that was asked first did not answer.
         strayed: Whether that happened lately.
     """
@@ -497,8 +503,8 @@
 
 
 def ask_of(message):
-    """Return the `Ask` of a message."""
-    return Ask(
+    """Return the `PlacementQuery` of a message."""
+    return PlacementQuery(
         host=message.host,
         number=message.number,
         service=message.service,
@@ -524,7 +530,7 @@
 
 def answer_message(number, decision):
     """Return the message of a decision."""
-    if isinstance(decision, Limited):
+    if isinstance(decision, RateLimited):
         return LimitMessage(
             number,
             decision.retry_after,
@@ -541,7 +547,7 @@
             decision.servers,
             decision.evidence,
         )
-    if isinstance(decision, Away):
+    if isinstance(decision, PlacedRemotely):
         return GrantMessage(
             number, "", "", 5, decision.predicted, False, decision.region, ""
         )
@@ -561,7 +567,7 @@
 def decision_of(message):
     """Return the decision of a message."""
     if isinstance(message, LimitMessage):
-        return Limited(
+        return RateLimited(
             message.retry_after,
             message.host,
             message.units,
@@ -576,7 +582,7 @@
             message.evidence,
         )
     if message.region:
-        return Away(message.region, message.predicted)
+        return PlacedRemotely(message.region, message.predicted)
     return Placed(
         message.server_id,
         message.address,
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -8,7 +8,12 @@
 from ..core.outcomes import Answered, NotRun, Reason
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink
-from ..traffic.decisions import Ask, Away, Limited, Placed
+from ..traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+)
 from ..traffic.evidence import Finding
 from .attempts import Attempt, Sending, silence_limit
 from .connections import Lane
@@ -179,13 +184,13 @@
             return refusal
         if isinstance(decision, Placed):
             return await self.try_server(number, decision)
-        if isinstance(decision, Away):
+        if isinstance(decision, PlacedRemotely):
             outcome = await self.try_region(decision)
             ran = not isinstance(outcome, NotRun)
             self.state.asking.note_away_end(number, ran=ran)
             return outcome
         self.refused = True
-        if isinstance(decision, Limited):
+        if isinstance(decision, RateLimited):
             self.note_limit(decision)
             return NotRun(Reason.RATE_LIMIT, decision.retry_after)
         self.note_refusal(decision)
@@ -252,9 +257,9 @@
         )
 
     def ask(self):
-        """Return the `Ask` of this moment."""
+        """Return the `PlacementQuery` of this moment."""
         waited = self.state.clock.seconds() - self.arrived
-        return Ask(
+        return PlacementQuery(
             host="",
             number=0,
             service=self.service,
@@ -562,7 +567,7 @@
         ask = replace(ask, excluded=(*ask.excluded, key))
         number, decision = await self.state.asking.place(ask)
         self.moving = False
-        found = isinstance(decision, Placed | Away)
+        found = isinstance(decision, Placed | PlacedRemotely)
         silent_still = self.attempt is silent and self.last_data == seen
         if found and silent_still and not self.over:
             self.placement = (number, decision)
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -2,7 +2,7 @@
 
 from ..core.hashing import short_id
 from ..core.sentinels import NOTHING
-from ..traffic.decisions import Away, Limited, Placed
+from ..traffic.decisions import Placed, PlacedRemotely, RateLimited
 from ..traffic.evidence import NOT_RUN
 from ..traffic.members import Report
 from .messages import Transfer, TransferAsk
@@ -164,10 +164,10 @@
         return NOTHING if workspace is None else workspace.limit
 
     def decide(self, ask, decide):
-        """Return a `Limited`, or what *decide* decides.
+        """Return a `RateLimited`, or what *decide* decides.
 
         Args:
-            ask: The `Ask`.
+            ask: The `PlacementQuery`.
             decide: Called for a decision if the limit allows the request.
         """
         limit = self.limit_of(ask.workspace) if ask.cost else NOTHING
@@ -180,15 +180,15 @@
         if shortage is not NOTHING:
             return self.limited(shortage)
         decision = decide()
-        if not isinstance(decision, Placed | Away):
+        if not isinstance(decision, Placed | PlacedRemotely):
             self.limits.give_back(key)
         return decision
 
     def limited(self, shortage):
-        """Return the `Limited` for a `Shortage`."""
+        """Return the `RateLimited` for a `Shortage`."""
         spread = 1.0 + RETRY_SPREAD * self.rng.random()
         seconds = shortage.seconds * spread
-        return Limited(
+        return RateLimited(
             min(LONGEST_RETRY, max(LEAST_RETRY, seconds)),
             self.members.own.name,
             shortage.units,
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -4,8 +4,8 @@
 from ..core.sentinels import NOTHING
 from ..traffic.evidence import Finding
 from ..traffic.members import Report
-from ..traffic.regions import RegionLoad, Room
-from ..traffic.work import RANKS, Ticket
+from ..traffic.regions import RegionLoad, ServerCapacity
+from ..traffic.work import RANKS, Placement
 from .hostentries import member_of
 from .messages import (
     AskMessage,
@@ -396,7 +396,7 @@
     def take_tickets(self, message, now):
         """Make the work of a host agree with what it says."""
         numbers = {ticket.number for ticket in message.tickets}
-        self.placer.keep_only(
+        self.placer.retain_placements(
             message.host, numbers, now, older_than=UNCONFIRMED
         )
         for row in message.tickets:
@@ -433,7 +433,7 @@
     def take_summary(self, message):
         """Take over another region's load."""
         now = self.clock.seconds()
-        self.placer.take_load(
+        self.placer.apply_load_report(
             message.region,
             {
                 service: heard_load(load)
@@ -448,19 +448,19 @@
     rooms = [
         ToldRoom(
             [round(wait * 1000) for wait in room.waits],
-            round(room.used * 100),
+            round(room.occupancy * 100),
             round(room.token_seconds * 1e6),
             -1 if room.spare is NOTHING else room.spare,
         )
-        for room in load.rooms
+        for room in load.capacities
     ]
-    return ServiceLoad(load.slots, rooms, list(load.read))
+    return ServiceLoad(load.slots, rooms, list(load.prefilled_parts))
 
 
 def heard_load(load):
     """Return the `RegionLoad` of a `ServiceLoad`."""
     rooms = [
-        Room(
+        ServerCapacity(
             tuple(millis / 1000 for millis in told.waits),
             told.used / 100,
             told.token_micros / 1e6,
@@ -473,13 +473,13 @@
 
 
 def ticket_of(host, row, now):
-    """Return the `Ticket` of a row in a heartbeat."""
-    return Ticket(
+    """Return the `Placement` of a row in a heartbeat."""
+    return Placement(
         host=host,
         number=row.number,
         server_id=row.server_id,
         placed_at=now,
-        fresh_tokens=row.fresh_tokens,
+        uncached_tokens=row.fresh_tokens,
         tokens=row.tokens,
         tokens_out=row.tokens_out,
         urgency=row.urgency,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -20,7 +20,7 @@
 from ..platform.settings import PATH_VARIABLE, read_settings
 from ..platform.store import PlatformStore
 from ..traffic.crashes import Crashes
-from ..traffic.mechanisms import parse_off
+from ..traffic.mechanisms import parse_disabled
 from ..traffic.members import Member, Members
 from ..traffic.placing import Placer
 from ..traffic.rests import Rests
@@ -133,7 +133,7 @@
             self.members.regions,
             limits=self.server_limits,
             started_at=self.began,
-            off=settings.off,
+            disabled=settings.off,
         )
         self.datagrams = Datagrams(
             lambda message, ip: self.guarded(
@@ -391,7 +391,7 @@
             "servers_leaving_by_answer": self.registry.leaving_by_answer(),
             "servers_at_rest": self.rests.at_rest(now),
             "servers_limited": self.server_limits.in_force(now),
-            "requests_placed": len(self.placer.tickets),
+            "requests_placed": len(self.placer.placements),
             "hosts_live": len(self.members.live(now)),
             "servers_known": len(self.registry.servers),
             "configuration_version": self.keeper.version,
@@ -592,7 +592,7 @@
 def main(path, metrics_port, without, check):
     """Run an entry process on the users' platform."""
     try:
-        settings = replace(read_settings(path), off=parse_off(without))
+        settings = replace(read_settings(path), off=parse_disabled(without))
     except SettingsError as problem:
         click.echo(str(problem), err=True)
         sys.exit(EXIT_BAD_SETTINGS)
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -10,7 +10,7 @@
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink, first_value
-from ..traffic.decisions import Ask, Placed
+from ..traffic.decisions import Placed, PlacementQuery
 from ..traffic.evidence import Finding
 from .attempts import Attempt, Head, Sending, silence_limit
 from .connections import Lane
@@ -275,8 +275,8 @@
         return True
 
     def ask(self, facts):
-        """Return the `Ask`; it stays in this region."""
-        return Ask(
+        """Return the `PlacementQuery`; it stays in this region."""
+        return PlacementQuery(
             host="",
             number=0,
             service=self.order.service,
--- a/src/hyssopspring/platform/operator.py
+++ b/src/hyssopspring/platform/operator.py
@@ -182,7 +182,7 @@
             rate=row.rate_per_s,
             burst=row.burst,
             plain_tokens=row.plain_tokens,
-            by_request=row.unit == "requests",
+            counts_requests=row.unit == "requests",
         )
     return Workspace(
         name=row.name,
--- a/src/hyssopspring/traffic/offers.py
+++ b/src/hyssopspring/traffic/candidates.py
@@ -4,11 +4,11 @@
 
 from ..core.sentinels import NOTHING
 
-__all__ = ["NO_LIMIT", "NO_OFFER", "Offer"]
+__all__ = ["UNBOUNDED", "NO_CANDIDATE", "Candidate"]
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class Candidate:
     """What a server here, or another region, would do for a request.
 
     Attributes:
@@ -19,12 +19,12 @@
         copy_from: Address of that other server.
     """
 
-    place: object
+    target: object
     predicted: float
     cost: float
     copied: int = 0
     copy_from: str = ""
 
 
-NO_LIMIT = float("inf")
-NO_OFFER = Offer(NOTHING, NO_LIMIT, NO_LIMIT)
+UNBOUNDED = float("inf")
+NO_CANDIDATE = Candidate(NOTHING, UNBOUNDED, UNBOUNDED)
--- a/src/hyssopspring/traffic/coldrates.py
+++ b/src/hyssopspring/traffic/coldrates.py
@@ -4,7 +4,7 @@
 
 __all__ = ["ColdRates"]
 
-WINDOW = 1.3
+WINDOW_SECONDS = 1.3
 """Seconds over which requests are counted. The bound holds for any second
 at the server; what is more covers the different times that requests need
 on their way."""
@@ -25,7 +25,7 @@
         window: Seconds over which requests are counted.
     """
 
-    def __init__(self, *, window=WINDOW):
+    def __init__(self, *, window=WINDOW_SECONDS):
         self.window = window
         self.sent = {}
 
@@ -33,7 +33,7 @@
         """Return the requests that one placer may send in a window."""
         return max(0, int(bound // CONCURRENT_PLACERS))
 
-    def free(self, server_id, bound, now):
+    def is_allowed(self, server_id, bound, now):
         """Whether the server can be sent a request at *now*."""
         times = self.sent.get(server_id)
         if times is None:
--- a/src/hyssopspring/traffic/decisions.py
+++ b/src/hyssopspring/traffic/decisions.py
@@ -4,11 +4,18 @@
 
 from .work import Demand
 
-__all__ = ["Ask", "Away", "Limited", "Placed", "Refused", "urgency_of"]
+__all__ = [
+    "PlacementQuery",
+    "PlacedRemotely",
+    "RateLimited",
+    "Placed",
+    "Refused",
+    "urgency_of",
+]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ask:
+class PlacementQuery:
     """What must be known of a request to place it.
 
     Attributes:
@@ -75,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Away:
+class PlacedRemotely:
     """Send it to a host of another region.
 
     Attributes:
@@ -106,7 +113,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class RateLimited:
     """Refuse it: its workspace has reached its limit.
 
     Attributes:
@@ -124,9 +131,9 @@
     demand: int
 
 
-def urgency_of(ask):
+def urgency_of(query):
     """Return the urgency of a request that can be on time.
 
     Ranks 2 to 6 leave room for late ones behind and for none before.
     """
-    return min(6, 2 + max(0, ask.priority) * 2)
+    return min(6, 2 + max(0, query.priority) * 2)
--- a/src/hyssopspring/traffic/margins.py
+++ b/src/hyssopspring/traffic/margins.py
@@ -4,16 +4,16 @@
 
 __all__ = ["Margin"]
 
-COVERED = 0.85
+COVERED_FRACTION = 0.85
 """Part of the requests that must begin within prediction and margin. One
 that is admitted and begins too late has cost the engine as much as one in
 time, and its caller is served less than by a refusal and a second try."""
 
-STEP = 0.004
+STEP_SECONDS = 0.004
 """Seconds by which one observation moves the margin: some twenty late
 requests in a row make it worth a step of the batch."""
 
-LARGEST = 0.2
+MAX_MARGIN_SECONDS = 0.2
 """Seconds of the largest margin, a quarter of a usual objective; more would
 refuse what could be on time because of a few stalled engines."""
 
@@ -32,12 +32,14 @@
 
     seconds: float = 0.0
 
-    def learn(self, predicted, met):
+    def learn(self, predicted, observed):
         """Learn from a request that was to begin after *predicted* seconds.
 
-        The steps up and down balance where `COVERED` of the errors lie
-        below the margin, whatever their distribution.
+        The steps up and down balance where `COVERED_FRACTION` of the errors
+        lie below the margin, whatever their distribution.
         """
-        exceeded = met - predicted > self.seconds
-        step = COVERED if exceeded else COVERED - 1.0
-        self.seconds = min(LARGEST, max(0.0, self.seconds + step * STEP))
+        exceeded = observed - predicted > self.seconds
+        step = COVERED_FRACTION if exceeded else COVERED_FRACTION - 1.0
+        self.seconds = min(
+            MAX_MARGIN_SECONDS, max(0.0, self.seconds + step * STEP_SECONDS)
+        )
--- a/src/hyssopspring/traffic/mechanisms.py
+++ b/src/hyssopspring/traffic/mechanisms.py
@@ -4,7 +4,7 @@
 
 from ..core.exceptions import SettingsError
 
-__all__ = ["Mechanism", "parse_off"]
+__all__ = ["Mechanism", "parse_disabled"]
 
 
 class Mechanism(enum.Enum):
@@ -27,7 +27,7 @@
         return self.name.lower()
 
 
-def parse_off(text):
+def parse_disabled(text):
     """Return the mechanisms that a setting switches off.
 
     Args:
--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -3,31 +3,31 @@
 from dataclasses import dataclass, replace
 
 from ..core.sentinels import NOTHING
+from .candidates import NO_CANDIDATE, UNBOUNDED, Candidate
 from .coldrates import ColdRates
 from .decisions import Placed, Refused, urgency_of
-from .decoding import DecodingFigures
+from .decoding import DecodeTimes
 from .evidence import NOT_SENT, Evidence, Finding
 from .margins import Margin
 from .mechanisms import Mechanism
-from .models import make_work
-from .offers import NO_LIMIT, NO_OFFER, Offer
-from .otherregions import AWAY_SECONDS, OtherRegions
-from .reading import ReadingFigures
+from .prefill import PrefillTimes
 from .regions import (
     RegionLoad,
-    Room,
+    ServerCapacity,
 )
+from .remoteregions import INTER_REGION_SECONDS, RemoteRegions
 from .serverlimits import ServerLimits
 from .servers import Usability
-from .work import Inquiry, Ticket, crowding
+from .work import EstimateRequest, Placement, occupancy_cost
+from .workmodels import make_work
 
 __all__ = ["Placer"]
 
-RETURN_SHARE = 0.6
+RETRY_TARGET_FRACTION = 0.6
 """Part of the time to the objective within which a refused caller should
 be served when it comes back."""
 
-AWAY_SHARE = 0.85
+REMOTE_TARGET_FRACTION = 0.85
 """Part of the time to the objective within which another region must
 answer to be chosen; its load is known with a lag."""
 
@@ -35,45 +35,45 @@
 """Urgency of requests that will miss their objective anyway: they run in
 the gaps and delay nobody who can still be on time."""
 
-MOST_LATE = 2
+MAX_LATE_PER_SERVER = 2
 """Late requests that may wait at one server at a time."""
 
-SPREAD = 0.5
+RETRY_JITTER_FRACTION = 0.5
 """Part of a Retry-After by which callers are spread, so that those who are
 refused together do not return together."""
 
-NO_SERVER_WAIT = 1.0
+NO_SERVER_WAIT_SECONDS = 1.0
 """Seconds that a request is taken to wait where no server is open; one
 that is paused or cold is tried again within that time."""
 
-LEAST_RETRY = 0.25
-MOST_RETRY = 3.0
+MIN_RETRY_SECONDS = 0.25
+MAX_RETRY_SECONDS = 3.0
 """Bounds of a Retry-After in seconds. Sooner, the load that led to the
 refusal has not changed; later, little is left of the caller's time."""
 
-ERROR_COST = 0.6
+ERROR_COST_SECONDS = 0.6
 """Seconds by which a server that always fails counts as worse: about an
 objective, so that it still gets what no other could begin in time."""
 
-MOST_TOLD = 24
+MAX_REPORTED_SERVERS = 24
 """Servers of a service whose room is told to other regions, the best ones;
 a peak of one region is spread over no more between two reports."""
 
-CAUTIOUS_FOR = 5.0
+STARTUP_CAUTION_SECONDS = 5.0
 """Seconds after the start of a host in which it takes servers gently of
 which it has heard no answer. All hosts may have started together, so that
 nobody knows which servers are in need."""
 
-MOST_UNHEARD = 4
+MAX_UNANSWERED_REQUESTS = 4
 """Requests that such a server gets before its first answer."""
 
-LONGEST_TICKET = 40.0
+MAX_PLACEMENT_AGE_SECONDS = 40.0
 """Seconds after which a placed request whose end was not heard of is
 dropped; routes time out well before."""
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ServerView:
     """All that is known here of one server.
 
     Attributes:
@@ -88,13 +88,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Views:
+class CachedViews:
     """The servers of one service in this region.
 
     Attributes:
         servers: Each `Server`, as the registry gives them.
         service: The `Service`.
-        views: `View` of each.
+        views: `ServerView` of each.
     """
 
     servers: list
@@ -121,7 +121,7 @@
         limits: The `ServerLimits`; left out, this host counts for its
             whole region.
         started_at: Time at which this host started, or `NOTHING`.
-        off: Each `Mechanism` that is switched off.
+        disabled: Each `Mechanism` that is switched off.
     """
 
     def __init__(
@@ -135,12 +135,12 @@
         *,
         limits=NOTHING,
         started_at=NOTHING,
-        off=frozenset(),
+        disabled=frozenset(),
     ):
-        self.off = off
-        self.cautious_until = -NO_LIMIT
+        self.disabled = disabled
+        self.cautious_until = -UNBOUNDED
         if started_at is not NOTHING:
-            self.cautious_until = started_at + CAUTIOUS_FOR
+            self.cautious_until = started_at + STARTUP_CAUTION_SECONDS
         self.limits = limits or ServerLimits(lambda: 1.0, rng)
         self.region = region
         self.registry = registry
@@ -148,52 +148,59 @@
         self.cold_bound = cold_bound
         self.rng = rng
         self.work = {}
-        self.figures = {}
-        self.decoding = {}
+        self.prefill_times = {}
+        self.decode_times = {}
         self.margins = {}
         self.evidence = {}
         self.views = {}
-        self.tickets = {}
+        self.placements = {}
         self.by_host = {}
         self.cold_rates = ColdRates()
-        self.others = OtherRegions(
-            region, registry, service_of, self.figures_of, live_regions, off
+        self.remote_regions = RemoteRegions(
+            region,
+            registry,
+            service_of,
+            self.prefill_times_of,
+            live_regions,
+            disabled,
         )
 
-    def place(self, ask, now, *, cold_allowed=True):
+    def place(self, query, now, *, cold_allowed=True):
         """Decide on one request.
 
         Args:
-            ask: The `Ask`.
+            query: The `PlacementQuery`.
             now: The time.
             cold_allowed: Whether this host may count for cold servers.
 
         Returns:
-            `Placed`, `Away` or `Refused`.
+            `Placed`, `PlacedRemotely` or `Refused`.
         """
-        urgency = urgency_of(ask)
-        servers = self.usable(ask, now, cold_allowed)
-        if ask.apart:
-            servers = self.apart(servers, ask.apart)
+        urgency = urgency_of(query)
+        servers = self.eligible_servers(query, now, cold_allowed)
+        if query.apart:
+            servers = self.isolated(servers, query.apart)
         if not cold_allowed:
-            servers = self.turned(servers)
-        here = self.best_of(servers, ask, urgency, now)
-        in_time = here.predicted + self.margin(ask) <= ask.time_left
-        if in_time and here.cost <= AWAY_SECONDS:
+            servers = self.rotated(servers)
+        local = self.best_candidate(servers, query, urgency, now)
+        in_time = local.predicted + self.margin(query) <= query.time_left
+        if in_time and local.cost <= INTER_REGION_SECONDS:
             # No other region can be better: the way alone costs more.
-            return self.admit(ask, here, urgency, now)
-        away = self.others.best(ask, now, here.cost if in_time else NO_LIMIT)
-        if in_time and here.cost <= away.cost:
-            return self.admit(ask, here, urgency, now)
-        if self.worth_sending(ask, away, here):
-            return self.others.send(ask, away, now)
+            return self.admit(query, local, urgency, now)
+        remote = self.remote_regions.best(
+            query, now, local.cost if in_time else UNBOUNDED
+        )
+        if in_time and local.cost <= remote.cost:
+            return self.admit(query, local, urgency, now)
+        if self.should_place_remotely(query, remote, local):
+            return self.remote_regions.send(query, remote, now)
         if in_time:
-            return self.admit(ask, here, urgency, now)
-        if ask.begun:
-            return self.go_on(ask, here, away, now)
-        return self.place_late(servers, ask, now)
+            return self.admit(query, local, urgency, now)
+        if query.begun:
+            return self.place_resumed(query, local, remote, now)
+        return self.place_late(servers, query, now)
 
-    def apart(self, views, fingerprint):
+    def isolated(self, views, fingerprint):
         """Return the servers at which no other suspected request is.
 
         Two servers have ended as this one was about to begin. Beside
@@ -202,21 +209,21 @@
         would end for nothing.
         """
         at = {
-            ticket.server_id: ticket.apart
-            for ticket in self.tickets.values()
-            if ticket.apart
+            placement.server_id: placement.apart
+            for placement in self.placements.values()
+            if placement.apart
         }
         if fingerprint in at.values():
             return []
         return [view for view in views if view.server.entry.id not in at]
 
-    def margin(self, ask):
+    def margin(self, query):
         """Return the seconds by which a prediction must be in time."""
-        if Mechanism.MARGIN in self.off:
+        if Mechanism.MARGIN in self.disabled:
             return 0.0
-        return self.margin_of(ask.service).seconds
+        return self.margin_of(query.service).seconds
 
-    def turned(self, views):
+    def rotated(self, views):
         """Return servers in an order that begins anywhere.
 
         Hosts that only stand in know little of the load. To each the same
@@ -226,40 +233,42 @@
         first = self.rng.randrange(len(views)) if views else 0
         return views[first:] + views[:first]
 
-    def go_on(self, ask, here, away, now):
+    def place_resumed(self, query, local, remote, now):
         """Place a stream that has begun where it goes on first.
 
         Its caller holds a part of the answer. A refusal would cut it, and
         all that was made of it would be lost; the caller still takes an
         event that comes late.
         """
-        if min(here.predicted, away.predicted) > ask.patience:
-            return self.refuse(ask, NO_SERVER_WAIT, 0)
-        if away.predicted < here.predicted:
-            return self.others.send(ask, away, now)
-        urgency = urgency_of(ask)
-        return self.admit(ask, here, urgency, now)
+        if min(local.predicted, remote.predicted) > query.patience:
+            return self.refuse(query, NO_SERVER_WAIT_SECONDS, 0)
+        if remote.predicted < local.predicted:
+            return self.remote_regions.send(query, remote, now)
+        urgency = urgency_of(query)
+        return self.admit(query, local, urgency, now)
 
-    def best_of(self, views, ask, urgency, now):
-        """Return the `Offer` of the best server.
+    def best_candidate(self, views, query, urgency, now):
+        """Return the `Candidate` of the best server.
 
         The one that has cached most of the prompt is looked at first; it
         is most often the best, and spares most of the work on the others.
 
         Args:
-            views: `View` of each server that may get the request.
-            ask: The `Ask`.
+            views: `ServerView` of each server that may get the request.
+            query: The `PlacementQuery`.
             urgency: Its rank among waiting requests.
             now: The time.
         """
-        best = NO_OFFER
-        demand = ask.demand
-        known = [view.work.known_tokens(demand) for view in views]
+        best = NO_CANDIDATE
+        demand = query.demand
+        known = [view.work.cached_prefix_tokens(demand) for view in views]
         most = max(known, default=0)
         holder = views[known.index(most)] if most else NOTHING
-        copying = most and Mechanism.COPIES not in self.off
-        inquiry = Inquiry(demand, urgency, now, most if copying else 0)
-        weight = 0.0 if Mechanism.ERRORS in self.off else ERROR_COST
+        copying = most and Mechanism.COPIES not in self.disabled
+        inquiry = EstimateRequest(demand, urgency, now, most if copying else 0)
+        weight = (
+            0.0 if Mechanism.ERRORS in self.disabled else ERROR_COST_SECONDS
+        )
         pairs = list(zip(views, known, strict=True))
         if holder is not NOTHING:
             pairs.insert(0, (holder, most))
@@ -269,7 +278,7 @@
             found = view.work.assess(inquiry, tokens, limit)
             if found is NOTHING or found.cost >= limit:
                 continue
-            best = Offer(
+            best = Candidate(
                 view.server,
                 found.predicted,
                 found.cost + errors,
@@ -278,28 +287,28 @@
             )
         return best
 
-    def usable(self, ask, now, cold_allowed):
-        """Return the `View` of each server that may get the request now."""
-        if ask.regions and self.region not in ask.regions:
+    def eligible_servers(self, query, now, cold_allowed):
+        """Return the `ServerView` of each server eligible for the request."""
+        if query.regions and self.region not in query.regions:
             return []
         return [
             view
-            for view in self.views_of(ask.service, now)
+            for view in self.views_of(query.service, now)
             if now >= view.evidence.paused_until
-            and view.server.entry.id not in ask.excluded
+            and view.server.entry.id not in query.excluded
             and not (
                 now < view.server.cold_until
-                and self.too_cold(view.server, now, cold_allowed)
+                and self.cold_share_used(view.server, now, cold_allowed)
             )
             and not (
                 self.limits.named
                 and not self.limits.is_free(view.server.entry.id, now)
             )
-            and not (now < self.cautious_until and is_unheard(view))
+            and not (now < self.cautious_until and has_unanswered_limit(view))
         ]
 
     def views_of(self, name, now):
-        """Return the `View` of each server of a service in this region.
+        """Return the `ServerView` of each server of a service in this region.
 
         They are kept until servers come or go, or the service changes.
         """
@@ -312,17 +321,17 @@
             or kept.service is not service
         ):
             views = [
-                View(
+                ServerView(
                     server,
                     self.work_of(server),
                     self.evidence_of(server.entry.id),
                 )
                 for server in servers
             ]
-            kept = self.views[name] = Views(servers, service, views)
+            kept = self.views[name] = CachedViews(servers, service, views)
         return kept.views
 
-    def too_cold(self, server, now, cold_allowed):
+    def cold_share_used(self, server, now, cold_allowed):
         """Whether the server is cold and has got its share already."""
         if server.usability(now) is not Usability.COLD:
             return False
@@ -332,22 +341,22 @@
         if not cold_allowed:
             return True
         bound = self.cold_bound(service)
-        return not self.cold_rates.free(server.entry.id, bound, now)
+        return not self.cold_rates.is_allowed(server.entry.id, bound, now)
 
-    def worth_sending(self, ask, away, here):
+    def should_place_remotely(self, query, remote, local):
         """Whether another region serves the request better.
 
         It must meet the objective there, or have no server here at all.
         """
-        if away is NO_OFFER or away.predicted > ask.patience:
+        if remote is NO_CANDIDATE or remote.predicted > query.patience:
             return False
-        if here is NO_OFFER:
+        if local is NO_CANDIDATE:
             return True
-        if Mechanism.AWAY in self.off:
+        if Mechanism.AWAY in self.disabled:
             return False
-        return away.predicted <= ask.time_left * AWAY_SHARE
+        return remote.predicted <= query.time_left * REMOTE_TARGET_FRACTION
 
-    def place_late(self, servers, ask, now):
+    def place_late(self, servers, query, now):
         """Admit a request that will be late behind all others, or refuse.
 
         Refused requests go at once: their callers may come back when
@@ -355,91 +364,98 @@
         ones stay in their region: sent to others, they fill the servers
         that could still serve bound requests on time.
         """
-        here = self.best_of(servers, ask, LATE_URGENCY, now)
-        if here is NO_OFFER:
-            return self.refuse_closed(ask, now)
-        of_use = here.predicted <= ask.patience
-        if of_use and not self.has_late(here.place):
+        local = self.best_candidate(servers, query, LATE_URGENCY, now)
+        if local is NO_CANDIDATE:
+            return self.refuse_unavailable(query, now)
+        of_use = local.predicted <= query.patience
+        if of_use and not self.late_limit_reached(local.target):
             urgency = LATE_URGENCY
-            return self.admit(ask, here, urgency, now)
-        return self.refuse(ask, here.predicted, len(servers))
+            return self.admit(query, local, urgency, now)
+        return self.refuse(query, local.predicted, len(servers))
 
-    def has_late(self, server):
+    def late_limit_reached(self, server):
         """Whether enough late requests wait at a server already."""
-        if Mechanism.LATE in self.off:
+        if Mechanism.LATE in self.disabled:
             return True
         late = sum(
-            ticket.urgency >= LATE_URGENCY and not ticket.started
-            for ticket in self.work_of(server).tickets.values()
+            placement.urgency >= LATE_URGENCY and not placement.started
+            for placement in self.work_of(server).placements.values()
         )
-        return late >= MOST_LATE
+        return late >= MAX_LATE_PER_SERVER
 
-    def refuse_closed(self, ask, now):
+    def refuse_unavailable(self, query, now):
         """Return a `Refused` that says when a server takes requests again."""
-        held = self.held_by_limits(ask, now)
+        held = self.blocked_by_limits(query, now)
         if not held:
-            refused = self.refuse(ask, NO_SERVER_WAIT, 0)
-            evidence = self.registry.who_left(ask.service, self.region, now)
+            refused = self.refuse(query, NO_SERVER_WAIT_SECONDS, 0)
+            evidence = self.registry.who_left(query.service, self.region, now)
             return replace(refused, evidence=evidence)
-        most = MOST_RETRY * (1.0 + SPREAD * self.rng.random())
-        promise = self.limits.promise(ask.service, held, now, most)
+        most = MAX_RETRY_SECONDS * (
+            1.0 + RETRY_JITTER_FRACTION * self.rng.random()
+        )
+        promise = self.limits.promise(query.service, held, now, most)
         evidence = self.limits.evidence(promise.server_id, now)
         seconds = promise.seconds
-        return Refused(max(LEAST_RETRY, seconds), seconds, 0, evidence)
+        return Refused(max(MIN_RETRY_SECONDS, seconds), seconds, 0, evidence)
 
-    def held_by_limits(self, ask, now):
+    def blocked_by_limits(self, query, now):
         """Return the servers that could be used but for their limits."""
         if not self.limits.named:
             return []
-        if ask.regions and self.region not in ask.regions:
+        if query.regions and self.region not in query.regions:
             return []
         return [
             view.server.entry.id
-            for view in self.views_of(ask.service, now)
+            for view in self.views_of(query.service, now)
             if view.evidence.open(now)
-            and view.server.entry.id not in ask.excluded
+            and view.server.entry.id not in query.excluded
             and not self.limits.is_free(view.server.entry.id, now)
         ]
 
-    def refuse(self, ask, predicted, servers):
+    def refuse(self, query, predicted, servers):
         """Return a `Refused` that says when there should be room."""
-        over = max(LEAST_RETRY, predicted - ask.time_left * RETURN_SHARE)
-        seconds = min(MOST_RETRY, over)
-        spread = 1.0 + SPREAD * self.rng.random()
+        over = max(
+            MIN_RETRY_SECONDS,
+            predicted - query.time_left * RETRY_TARGET_FRACTION,
+        )
+        seconds = min(MAX_RETRY_SECONDS, over)
+        spread = 1.0 + RETRY_JITTER_FRACTION * self.rng.random()
         return Refused(seconds * spread, predicted, servers)
 
-    def admit(self, ask, offer, urgency, now):
+    def admit(self, query, candidate, urgency, now):
         """Count the request at the server of *offer*; return `Placed`."""
-        server = offer.place
+        server = candidate.target
         entry = server.entry
         work = self.work_of(server)
-        ticket = Ticket(
-            host=ask.host,
-            number=ask.number,
+        placement = Placement(
+            host=query.host,
+            number=query.number,
             server_id=entry.id,
             placed_at=now,
-            fresh_tokens=work.fresh_tokens(ask.demand, offer.copied),
-            tokens=ask.demand.tokens_in + ask.demand.tokens_out,
-            tokens_out=ask.demand.tokens_out,
+            uncached_tokens=work.uncached_tokens(
+                query.demand, candidate.copied
+            ),
+            tokens=query.demand.tokens_in + query.demand.tokens_out,
+            tokens_out=query.demand.tokens_out,
             urgency=urgency,
-            predicted=offer.predicted,
-            apart=ask.apart,
+            predicted=candidate.predicted,
+            apart=query.apart,
         )
-        self.others.note_read(entry.service, ask.demand, now)
-        self.drop(ask.host, ask.number, now)
-        self.keep(ticket)
-        work.begin(ticket, ask.demand)
+        self.remote_regions.note_prefilled(entry.service, query.demand, now)
+        self.drop(query.host, query.number, now)
+        self.add_placement(placement)
+        work.begin(placement, query.demand)
         self.cold_rates.count(entry.id, now)
         self.limits.take(entry.id, now)
         self.evidence_of(entry.id).begin_trial(now)
         cold = server.usability(now) is Usability.COLD
-        source = offer.copy_from if offer.copied else ""
+        source = candidate.copy_from if candidate.copied else ""
         evidence = self.limits.evidence(entry.id, now)
         return Placed(
             entry.id,
             entry.address,
             urgency,
-            offer.predicted,
+            candidate.predicted,
             cold or bool(evidence),
             source,
             evidence,
@@ -447,17 +463,17 @@
 
     def note_start(self, host, number, seconds, now):
         """Take account of a first event or the head of an answer."""
-        ticket = self.tickets.get((host, number))
-        if ticket is None or ticket.started:
+        placement = self.placements.get((host, number))
+        if placement is None or placement.started:
             return
-        work = self.work.get(ticket.server_id)
-        server = self.registry.servers.get(ticket.server_id)
-        if server is not None and ticket.urgency < LATE_URGENCY:
+        work = self.work.get(placement.server_id)
+        server = self.registry.servers.get(placement.server_id)
+        if server is not None and placement.urgency < LATE_URGENCY:
             margin = self.margin_of(server.entry.service)
-            margin.learn(ticket.predicted, seconds)
+            margin.learn(placement.predicted, seconds)
         if work is not None:
-            work.start(ticket, seconds, now)
-            self.evidence_of(ticket.server_id).note_answer(now)
+            work.start(placement, seconds, now)
+            self.evidence_of(placement.server_id).note_answer(now)
 
     def note_end(self, host, number, server_id, finding, now):
         """Take account of the end of an attempt.
@@ -486,25 +502,27 @@
         Returns:
             Whether it was known.
         """
-        ticket = self.tickets.pop((host, number), None)
-        if ticket is None:
+        placement = self.placements.pop((host, number), None)
+        if placement is None:
             return False
-        self.of_host(host).pop(number, None)
-        work = self.work.get(ticket.server_id)
+        self.placements_of_host(host).pop(number, None)
+        work = self.work.get(placement.server_id)
         if work is not None:
-            work.end(ticket, now, whole=whole)
+            work.end(placement, now, whole=whole)
         return True
 
-    def keep(self, ticket):
+    def add_placement(self, placement):
         """Remember a placed request."""
-        self.tickets[ticket.host, ticket.number] = ticket
-        self.by_host.setdefault(ticket.host, {})[ticket.number] = ticket
+        self.placements[placement.host, placement.number] = placement
+        self.by_host.setdefault(placement.host, {})[placement.number] = (
+            placement
+        )
 
-    def of_host(self, host):
+    def placements_of_host(self, host):
         """Return the tickets of *host* by number."""
         return self.by_host.get(host, {})
 
-    def keep_only(self, host, numbers, now, *, older_than):
+    def retain_placements(self, host, numbers, now, *, older_than):
         """Forget the requests of *host* that it says have ended.
 
         The word of an end may be lost on its way; the server would seem
@@ -512,31 +530,31 @@
         """
         stale = [
             number
-            for number, ticket in self.of_host(host).items()
-            if number not in numbers and now - ticket.placed_at > older_than
+            for number, placement in self.placements_of_host(host).items()
+            if number not in numbers and now - placement.placed_at > older_than
         ]
         for number in stale:
             self.drop(host, number, now)
 
-    def adopt(self, ticket, now):
+    def adopt(self, placement, now):
         """Take over a request that another host has placed."""
-        key = ticket.host, ticket.number
-        known = self.tickets.get(key)
+        key = placement.host, placement.number
+        known = self.placements.get(key)
         if known is not None:
             work = self.work.get(known.server_id)
-            if ticket.started and not known.started and work is not None:
+            if placement.started and not known.started and work is not None:
                 work.mark_started(known, now)
             return
-        server = self.registry.servers.get(ticket.server_id)
+        server = self.registry.servers.get(placement.server_id)
         if server is None:
             return
-        ticket.started_at = now
-        self.keep(ticket)
-        self.work_of(server).begin(ticket, NOTHING)
+        placement.started_at = now
+        self.add_placement(placement)
+        self.work_of(server).begin(placement, NOTHING)
 
     def forget_host(self, host, now):
         """Forget all requests of a host that is gone."""
-        for number in list(self.of_host(host)):
+        for number in list(self.placements_of_host(host)):
             self.drop(host, number, now)
 
     def forget_server(self, server_id, now):
@@ -545,8 +563,8 @@
         A server that starts again under its identifier has lost its work
         and what it had cached, and is cold whatever it got before.
         """
-        for key, ticket in list(self.tickets.items()):
-            if ticket.server_id == server_id:
+        for key, placement in list(self.placements.items()):
+            if placement.server_id == server_id:
                 self.drop(*key, now)
         self.work.pop(server_id, None)
         self.evidence.pop(server_id, None)
@@ -559,16 +577,18 @@
         known = self.registry.servers
         for server_id in [one for one in self.work if one not in known]:
             self.forget_server(server_id, now)
-        for key, ticket in list(self.tickets.items()):
-            if now - ticket.placed_at > LONGEST_TICKET:
+        for key, placement in list(self.placements.items()):
+            if now - placement.placed_at > MAX_PLACEMENT_AGE_SECONDS:
                 self.drop(*key, now)
 
     def summarize(self, now):
         """Return the `RegionLoad` of this region by service."""
         slots = {}
-        rooms = {}
+        capacities = {}
         for server in self.registry.servers.values():
-            if server.region != self.region or not self.tells(server, now):
+            if server.region != self.region or not self.is_reported(
+                server, now
+            ):
                 continue
             spare = self.limits.spare(server.entry.id, now)
             if spare == 0:
@@ -576,29 +596,29 @@
             name = server.entry.service
             work = self.work_of(server)
             slots[name] = work.slots
-            room = Room(
-                work.waits(now), work.used(), work.token_time(now), spare
+            capacity = ServerCapacity(
+                work.waits(now), work.occupancy(), work.token_time(now), spare
             )
-            rooms.setdefault(name, []).append(room)
+            capacities.setdefault(name, []).append(capacity)
         return {
             name: RegionLoad(
                 slots[name],
-                best_rooms(found),
-                self.others.told_parts(name, now),
+                highest_capacity(found),
+                self.remote_regions.reported_parts(name, now),
             )
-            for name, found in rooms.items()
+            for name, found in capacities.items()
         }
 
-    def tells(self, server, now):
+    def is_reported(self, server, now):
         """Whether other regions may count on a server."""
         server_id = server.entry.id
         if self.registry.usability(server_id, now) is not Usability.READY:
             return False
         return self.evidence_of(server_id).open(now)
 
-    def take_load(self, region, loads, now):
+    def apply_load_report(self, region, loads, now):
         """Take over another region's report."""
-        self.others.take_load(region, loads, now)
+        self.remote_regions.apply_load_report(region, loads, now)
 
     def work_of(self, server):
         """Return the model of a server's work.
@@ -612,32 +632,32 @@
         service = self.service_of(server.entry.service)
         if work is None or not work.is_for(service.engine):
             known = work
-            figures = self.figures_of(service.name)
-            decoding = self.decoding_of(service.name)
+            prefill_times = self.prefill_times_of(service.name)
+            decode_times = self.decode_times_of(service.name)
             work = make_work(
                 service,
                 server.entry.slots,
-                figures,
-                decoding,
-                off=self.off,
+                prefill_times,
+                decode_times,
+                disabled=self.disabled,
             )
             self.work[server.entry.id] = work
             if known is not None:
-                for ticket in known.tickets.values():
-                    work.begin(ticket, NOTHING)
+                for placement in known.placements.values():
+                    work.begin(placement, NOTHING)
         return work
 
     def margin_of(self, service):
         """Return the `Margin` of a service."""
         return self.margins.setdefault(service, Margin())
 
-    def figures_of(self, service):
-        """Return the `ReadingFigures` of a service."""
-        return self.figures.setdefault(service, ReadingFigures())
+    def prefill_times_of(self, service):
+        """Return the `PrefillTimes` of a service."""
+        return self.prefill_times.setdefault(service, PrefillTimes())
 
-    def decoding_of(self, service):
-        """Return the `DecodingFigures` of a service."""
-        return self.decoding.setdefault(service, DecodingFigures())
+    def decode_times_of(self, service):
+        """Return the `DecodeTimes` of a service."""
+        return self.decode_times.setdefault(service, DecodeTimes())
 
     def evidence_of(self, server_id):
         """Return the `Evidence` on a server."""
@@ -647,17 +667,20 @@
         return evidence
 
 
-def best_rooms(rooms):
+def highest_capacity(capacities):
     """Return the rooms that other regions are told of."""
     ranked = sorted(
-        rooms, key=lambda room: room.waits[0] + crowding(room.used)
+        capacities,
+        key=lambda capacity: (
+            capacity.waits[0] + occupancy_cost(capacity.occupancy)
+        ),
     )
-    return tuple(ranked[:MOST_TOLD])
+    return tuple(ranked[:MAX_REPORTED_SERVERS])
 
 
-def is_unheard(view):
+def has_unanswered_limit(view):
     """Whether a server has enough to answer before its first answer."""
     if view.evidence.has_answered:
         return False
-    waiting = sum(not one.started for one in view.work.tickets.values())
-    return waiting >= MOST_UNHEARD
+    waiting = sum(not one.started for one in view.work.placements.values())
+    return waiting >= MAX_UNANSWERED_REQUESTS
--- a/src/hyssopspring/traffic/plainwork.py
+++ b/src/hyssopspring/traffic/plainwork.py
@@ -3,82 +3,86 @@
 from dataclasses import dataclass, field
 
 from ..core.sentinels import NOTHING
-from .work import RANKS, Assessment, crowding
+from .work import RANKS, Estimate, occupancy_cost
 
-__all__ = ["PLAIN_SECONDS", "PlainWork"]
+__all__ = ["INITIAL_CALL_SECONDS", "PlainServerWork"]
 
-PLAIN_SECONDS = 0.06
+INITIAL_CALL_SECONDS = 0.06
 """Seconds for one call of a plain service, to begin with."""
 
-LEARN = 0.12
+LEARNING_RATE = 0.12
 """Weight of one observation in the moving average of the time of a call."""
 
 
 @dataclass(slots=True, eq=False)
-class PlainWork:
+class PlainServerWork:
     """Work in progress at a server that answers one call per slot.
 
     Attributes:
         slots: Calls that run at once.
-        tickets: `Ticket` by host and number.
+        tickets: `Placement` by host and number.
         seconds: Moving average of the time of a call.
     """
 
     slots: int
-    tickets: dict = field(default_factory=dict)
-    seconds: float = PLAIN_SECONDS
+    placements: dict = field(default_factory=dict)
+    seconds: float = INITIAL_CALL_SECONDS
 
     def is_for(self, engine):
         """Whether the model fits a service with this `EngineSpec`."""
         return engine is NOTHING
 
-    def alone(self, demand, fresh):
+    def idle_seconds(self, demand, uncached):
         """Return the seconds to an answer of a server that is idle."""
         return self.seconds
 
-    def known_tokens(self, demand):
+    def cached_prefix_tokens(self, demand):
         """Return 0; a plain service caches no prompts."""
         return 0
 
-    def copied_tokens(self, demand, elsewhere):
+    def copied_tokens(self, demand, most_cached):
         """Return 0; there is nothing to copy."""
         return 0
 
-    def fresh_tokens(self, demand, copied=0):
+    def uncached_tokens(self, demand, copied=0):
         """Return 0; a plain service reads no prompts."""
         return 0
 
     def predict(self, demand, urgency, now, copied=0):
         """Return the seconds until an answer would come."""
-        waiting = max(0, len(self.tickets) + 1 - self.slots)
+        waiting = max(0, len(self.placements) + 1 - self.slots)
         return self.seconds * (1.0 + waiting / self.slots)
 
     def cost(self, demand, urgency, now, copied=0):
         """Return the seconds that count in a comparison of servers."""
-        return self.predict(demand, urgency, now) + crowding(self.used())
+        return self.predict(demand, urgency, now) + occupancy_cost(
+            self.occupancy()
+        )
 
     def assess(self, inquiry, known, limit):
         """Return what the server would do for a request."""
         predicted = self.predict(inquiry.demand, inquiry.urgency, inquiry.now)
-        return Assessment(predicted, predicted + crowding(self.used()))
+        return Estimate(
+            predicted, predicted + occupancy_cost(self.occupancy())
+        )
 
-    def begin(self, ticket, demand):
+    def begin(self, placement, demand):
         """Count a placed request."""
-        self.tickets[ticket.host, ticket.number] = ticket
+        self.placements[placement.host, placement.number] = placement
 
-    def start(self, ticket, seconds, now):
+    def start(self, placement, seconds, now):
         """Take account of an answer after *seconds*."""
-        self.mark_started(ticket, now)
-        self.seconds += (min(seconds, 1.0) - self.seconds) * LEARN
+        self.mark_started(placement, now)
+        self.seconds += (min(seconds, 1.0) - self.seconds) * LEARNING_RATE
 
-    def mark_started(self, ticket, now):
+    def mark_started(self, placement, now):
         """Note that an answer has begun."""
-        ticket.started = True
-        ticket.started_at = now
+        placement.started = True
+        placement.started_at = now
 
-    def end(self, ticket, now, *, whole=False):
+    def end(self, placement, now, *, whole=False):
         """Count the end of a request."""
-        self.tickets.pop((ticket.host, ticket.number), None)
+        self.placements.pop((placement.host, placement.number), None)
 
     def waits(self, now):
         """Return the seconds that a new request waits, by its rank."""
@@ -88,6 +92,6 @@
         """Return 0; a plain service makes no tokens."""
         return 0.0
 
-    def used(self):
+    def occupancy(self):
         """Return the part of the slots that are taken."""
-        return len(self.tickets) / self.slots
+        return len(self.placements) / self.slots
--- a/src/hyssopspring/traffic/regions.py
+++ b/src/hyssopspring/traffic/regions.py
@@ -5,51 +5,63 @@
 
 from ..core.hashing import short_id
 from ..core.sentinels import NOTHING
-from .work import RANKS, READING_COST, Demand, answering, crowding
-
-__all__ = ["Brought", "FarLoad", "RegionLoad", "Room", "CachedParts"]
-
-REPORT_LAG = 0.17
+from .work import (
+    PREFILL_COST_FACTOR,
+    RANKS,
+    Demand,
+    answer_cost,
+    occupancy_cost,
+)
+
+__all__ = [
+    "AddedWork",
+    "RemoteLoad",
+    "RegionLoad",
+    "ServerCapacity",
+    "CachedParts",
+]
+
+REPORT_LAG_SECONDS = 0.17
 """Seconds by which a report lags behind what was sent: a request needs 80
 ms to reach the other region, and so does the report that counts it."""
 
-UNTOLD_USED = 0.5
+UNREPORTED_OCCUPANCY = 0.5
 """Part of its places that a server is taken to have in use in a region
 that is heard but has not told its load."""
 
-REMEMBERED = 8.0
+CACHED_PART_TTL_SECONDS = 8.0
 """Seconds for which a part is taken to be cached where it was sent; an
 engine under load keeps its prompts for about that long."""
 
-TOLD_FOR = 0.7
+PART_REPORT_SECONDS = 0.7
 """Seconds for which a part that was read is told to other regions: in three
 reports, of which two may be lost."""
 
-LEAST_TOLD = 1024
+MIN_REPORTED_TOKENS = 1024
 """Tokens from which a part is told; less is read in a step or two."""
 
-MOST_TOLD_PARTS = 64
+MAX_REPORTED_PARTS = 64
 """Parts that one report names at most, the newest: 320 bytes. A region with
 a hundred prompts a second would name 70 of them."""
 
-MOST_PARTS = 4096
+MAX_CACHED_PARTS = 4096
 """Parts of prompts that are remembered for one region."""
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class ServerCapacity:
     """Room at one server of another region.
 
     Attributes:
         waits: Seconds that a new request would wait, by its rank.
-        used: Part of its slots or memory in use; may exceed 1.
+        occupancy: Part of its slots or memory in use; may exceed 1.
         token_seconds: Seconds that it needs for an output token.
         spare: Requests that its limit lets through now, or `NOTHING` if it
             has none.
     """
 
     waits: tuple
-    used: float
+    occupancy: float
     token_seconds: float = 0.0
     spare: object = NOTHING
 
@@ -60,18 +72,18 @@
 
     Attributes:
         slots: Requests that one server runs at once.
-        rooms: `Room` of the servers that take requests, the best first.
+        capacities: `ServerCapacity` of each open server, the best first.
         read: Short names of parts of prompts that its servers have read
             of late.
     """
 
     slots: int
-    rooms: tuple
-    read: tuple = ()
+    capacities: tuple
+    prefilled_parts: tuple = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Brought:
+class AddedWork:
     """What a request brings to a server.
 
     Attributes:
@@ -86,11 +98,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Believed:
+class EstimatedServer:
     """Room at one server, with what was sent there since the report."""
 
     waits: list
-    used: float
+    occupancy: float
     token_seconds: float
     spare: object = NOTHING
 
@@ -99,30 +111,32 @@
         """Whether it takes one more request."""
         return self.spare is NOTHING or self.spare > 0
 
-    def begun(self, brought):
+    def seconds_to_start(self, added):
         """Return the seconds until a request would begin."""
-        return self.waits[brought.rank] + brought.seconds
+        return self.waits[added.rank] + added.seconds
 
-    def cost(self, brought):
+    def cost(self, added):
         """Return the seconds that count in a comparison."""
-        begun = self.begun(brought)
-        answer = answering(
-            brought.demand.tokens_out,
+        seconds_to_start = self.seconds_to_start(added)
+        answer = answer_cost(
+            added.demand.tokens_out,
             self.token_seconds,
-            brought.demand.answer_within - begun,
+            added.demand.answer_within - seconds_to_start,
+        )
+        again = added.seconds * PREFILL_COST_FACTOR
+        return (
+            seconds_to_start + again + occupancy_cost(self.occupancy) + answer
         )
-        again = brought.seconds * READING_COST
-        return begun + again + crowding(self.used) + answer
 
-    def add(self, brought, slots):
+    def add(self, added, slots):
         """Count a request that was sent there."""
-        for rank in range(brought.rank, RANKS):
-            self.waits[rank] += brought.seconds
-        self.used += 1.0 / slots
+        for rank in range(added.rank, RANKS):
+            self.waits[rank] += added.seconds
+        self.occupancy += 1.0 / slots
         if self.spare is not NOTHING:
             self.spare -= 1
 
-    def pass_time(self, seconds):
+    def advance(self, seconds):
         """Let time pass, in which waiting work is done."""
         waits = self.waits
         for rank, wait in enumerate(waits):
@@ -130,7 +144,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class FarLoad:
+class RemoteLoad:
     """One service of another region, between its reports.
 
     A report is as old as the way between regions is long. Without a count
@@ -141,9 +155,9 @@
 
     Attributes:
         slots: Requests that one server runs at once.
-        servers: `Believed` of each server.
+        servers: `EstimatedServer` of each server.
         at: Time up to which waits have run down.
-        sent: Time and `Brought` of what was sent of late.
+        sent: Time and `AddedWork` of what was sent of late.
     """
 
     slots: int = 1
@@ -151,50 +165,53 @@
     at: float = 0.0
     sent: deque = field(default_factory=deque)
 
-    def take(self, load, now):
+    def apply_report(self, load, now):
         """Take over a report, and count what it cannot know of."""
         self.slots = max(1, load.slots)
         self.servers = [
-            Believed(
-                list(room.waits), room.used, room.token_seconds, room.spare
+            EstimatedServer(
+                list(capacity.waits),
+                capacity.occupancy,
+                capacity.token_seconds,
+                capacity.spare,
             )
-            for room in load.rooms
+            for capacity in load.capacities
         ]
         self.at = now
-        while self.sent and now - self.sent[0][0] > REPORT_LAG:
+        while self.sent and now - self.sent[0][0] > REPORT_LAG_SECONDS:
             self.sent.popleft()
-        for _, brought in self.sent:
-            self.add(brought)
+        for _, added in self.sent:
+            self.add(added)
 
-    def best(self, brought, now):
-        """Return the `Believed` server that would answer first.
+    def best(self, added, now):
+        """Return the `EstimatedServer` server that would answer first.
 
         Args:
-            brought: What the request brings.
+            added: What the request brings.
             now: The time.
         """
         passed = max(0.0, now - self.at)
         self.at = max(self.at, now)
         if passed:
             for server in self.servers:
-                server.pass_time(passed)
-        return min(self.open_servers(), key=lambda one: one.cost(brought))
+                server.advance(passed)
+        return min(self.open_servers(), key=lambda one: one.cost(added))
 
     def open_servers(self):
-        """Return the `Believed` servers that take one more request."""
+        """Return the `EstimatedServer` servers that take one more request."""
         return [server for server in self.servers if server.is_open]
 
-    def count(self, brought, now):
+    def count(self, added, now):
         """Count a request that is sent there now."""
-        self.sent.append((now, brought))
-        self.add(brought)
+        self.sent.append((now, added))
+        self.add(added)
 
-    def add(self, brought):
+    def add(self, added):
         """Put work on the server that would take it."""
         servers = self.open_servers()
         if servers:
-            server = min(servers, key=lambda one: one.cost(brought))
-            server.add(brought, self.slots)
+            server = min(servers, key=lambda one: one.cost(added))
+            server.add(added, self.slots)
 
 
 class CachedParts:
@@ -218,21 +235,21 @@
         for name in names:
             self.times[name] = now
             self.times.move_to_end(name)
-        while len(self.times) > MOST_PARTS:
+        while len(self.times) > MAX_CACHED_PARTS:
             self.times.popitem(last=False)
 
-    def fresh_tokens(self, demand, now):
+    def uncached_tokens(self, demand, now):
         """Return the tokens of a prompt that must be read there."""
         known = 0
         for part, tokens in demand.parts:
-            at = self.times.get(short_id(part), -REMEMBERED)
-            if now - at >= REMEMBERED:
+            at = self.times.get(short_id(part), -CACHED_PART_TTL_SECONDS)
+            if now - at >= CACHED_PART_TTL_SECONDS:
                 break
             known += tokens
         return max(1, demand.tokens_in - known)
 
 
-def untold(slots, servers):
+def unreported_load(slots, servers):
     """Return the `RegionLoad` of a region that has told nothing."""
-    room = Room((0.0,) * RANKS, UNTOLD_USED)
-    return RegionLoad(slots, (room,) * servers)
+    capacity = ServerCapacity((0.0,) * RANKS, UNREPORTED_OCCUPANCY)
+    return RegionLoad(slots, (capacity,) * servers)
--- /dev/null
+++ b/src/hyssopspring/traffic/remoteregions.py
@@ -0,0 +1,175 @@
+"""Weigh the other regions for a request, by what they tell."""
+
+from collections import deque
+
+from ..core.hashing import short_id
+from ..core.sentinels import NOTHING
+from .candidates import NO_CANDIDATE, Candidate
+from .decisions import PlacedRemotely, urgency_of
+from .mechanisms import Mechanism
+from .plainwork import INITIAL_CALL_SECONDS
+from .prefill import attention_pairs
+from .regions import (
+    MAX_REPORTED_PARTS,
+    MIN_REPORTED_TOKENS,
+    PART_REPORT_SECONDS,
+    AddedWork,
+    CachedParts,
+    RemoteLoad,
+    unreported_load,
+)
+from .work import PREFILL_COST_FACTOR, rank_of
+
+__all__ = ["INTER_REGION_SECONDS", "RemoteRegions"]
+
+INTER_REGION_SECONDS = 0.2
+"""Seconds by which another region answers later: a round trip between
+regions of 160 ms, and a hop at each end."""
+
+LOAD_REPORT_TTL_SECONDS = 1.5
+"""Seconds for which another region's load report is used; it is sent a
+few times a second, and who is silent so long may be cut off."""
+
+
+class RemoteRegions:
+    """What is known of the other regions, and of what was sent there.
+
+    Args:
+        region: The own region.
+        registry: The `Registry`.
+        service_of: Called with a name; returns the `Service`.
+        figures_of: Called with a name; returns its `PrefillTimes`.
+        live_regions: Called with the time; returns the regions in which
+            hosts live.
+        disabled: Each `Mechanism` that is switched off.
+    """
+
+    def __init__(
+        self,
+        region,
+        registry,
+        service_of,
+        prefill_times_of,
+        live_regions,
+        disabled,
+    ):
+        self.region = region
+        self.registry = registry
+        self.service_of = service_of
+        self.prefill_times_of = prefill_times_of
+        self.live_regions = live_regions
+        self.disabled = disabled
+        self.remote_loads = {}
+        self.reported_at = {}
+        self.cached_parts = {}
+        self.prefilled_parts = deque()
+
+    def best(self, query, now, limit):
+        """Return the `Candidate` of the best other region.
+
+        Args:
+            query: The `PlacementQuery`.
+            now: The time.
+            limit: Cost from which on a region is of no interest.
+        """
+        best = NO_CANDIDATE
+        if not query.may_leave:
+            return best
+        for region in sorted(self.live_regions(now) - {self.region}):
+            if query.regions and region not in query.regions:
+                continue
+            if region in query.avoided:
+                continue
+            load = self.remote_load(region, query.service, now)
+            if not load.open_servers():
+                continue
+            seconds = self.work_seconds(query, region, now)
+            least = INTER_REGION_SECONDS + seconds * (
+                1.0 + PREFILL_COST_FACTOR
+            )
+            if least >= min(limit, best.cost):
+                continue
+            added = AddedWork(
+                seconds, rank_of(urgency_of(query)), query.demand
+            )
+            server = load.best(added, now)
+            predicted = INTER_REGION_SECONDS + server.seconds_to_start(added)
+            cost = INTER_REGION_SECONDS + server.cost(added)
+            if cost < best.cost:
+                best = Candidate(region, predicted, cost)
+        return best
+
+    def remote_load(self, region, service, now):
+        """Return the `RemoteLoad` of a service in another region.
+
+        A region whose hosts are heard while its report is missing may
+        well serve the request; it is taken to be fairly busy.
+        """
+        loads = self.remote_loads.setdefault(region, {})
+        reported_at = self.reported_at.get(region, NOTHING)
+        if (
+            reported_at is not NOTHING
+            and now - reported_at <= LOAD_REPORT_TTL_SECONDS
+        ):
+            return loads.get(service) or RemoteLoad()
+        servers = self.registry.candidates(service, region, now)
+        slots = max((one.entry.slots for one in servers), default=1)
+        load = loads.setdefault(service, RemoteLoad())
+        load.apply_report(unreported_load(slots, len(servers)), now)
+        return load
+
+    def work_seconds(self, query, region, now):
+        """Return the seconds of work that a request brings to a region."""
+        if self.service_of(query.service).engine is NOTHING:
+            return INITIAL_CALL_SECONDS
+        demand = query.demand
+        uncached = self.cached_parts_of(region).uncached_tokens(demand, now)
+        pairs = attention_pairs(demand.tokens_in, uncached)
+        return self.prefill_times_of(query.service).seconds(uncached, pairs)
+
+    def send(self, query, remote, now):
+        """Choose another region, and count on its load at once."""
+        load = self.remote_load(remote.target, query.service, now)
+        seconds = self.work_seconds(query, remote.target, now)
+        rank = rank_of(urgency_of(query))
+        load.count(AddedWork(seconds, rank, query.demand), now)
+        if Mechanism.AFFINITY not in self.disabled:
+            self.cached_parts_of(remote.target).note(query.demand.parts, now)
+        return PlacedRemotely(remote.target, remote.predicted)
+
+    def note_prefilled(self, service, demand, now):
+        """Remember the shared parts that a server here will have cached."""
+        for part, tokens in demand.parts[:-1]:
+            if tokens >= MIN_REPORTED_TOKENS:
+                self.prefilled_parts.append((now, service, short_id(part)))
+        while (
+            self.prefilled_parts
+            and now - self.prefilled_parts[0][0] > PART_REPORT_SECONDS
+        ):
+            self.prefilled_parts.popleft()
+
+    def reported_parts(self, service, now):
+        """Return the short names of parts to be told to other regions."""
+        names = [
+            name
+            for at, of, name in self.prefilled_parts
+            if of == service and now - at <= PART_REPORT_SECONDS
+        ]
+        return tuple(dict.fromkeys(reversed(names)))[:MAX_REPORTED_PARTS]
+
+    def cached_parts_of(self, region):
+        """Return the `CachedParts` of another region."""
+        return self.cached_parts.setdefault(region, CachedParts())
+
+    def apply_load_report(self, region, loads, now):
+        """Take over another region's report."""
+        known = self.remote_loads.setdefault(region, {})
+        for service in [one for one in known if one not in loads]:
+            del known[service]
+        for service, load in loads.items():
+            known.setdefault(service, RemoteLoad()).apply_report(load, now)
+            if Mechanism.AFFINITY not in self.disabled:
+                self.cached_parts_of(region).note_names(
+                    load.prefilled_parts, now
+                )
+        self.reported_at[region] = now
--- a/src/hyssopspring/traffic/work.py
+++ b/src/hyssopspring/traffic/work.py
@@ -3,55 +3,58 @@
 from dataclasses import dataclass, field
 
 __all__ = [
-    "READING_COST",
-    "Assessment",
+    "PREFILL_COST_FACTOR",
+    "Estimate",
     "Demand",
-    "Inquiry",
-    "Ticket",
-    "answering",
-    "crowding",
+    "EstimateRequest",
+    "Placement",
+    "answer_cost",
+    "occupancy_cost",
     "rank_of",
 ]
 
-BATCH_COST = 0.08
+OCCUPANCY_COST_SECONDS = 0.08
 """Seconds by which a full batch counts as worse than an empty one; it
 spreads requests over servers that would be equally quick to begin."""
 
-CROWDED = 0.7
+CROWDED_OCCUPANCY = 0.7
 """Part of a server's places from which on each further request counts
 much more: the next ones must wait for an end, in whatever order they
 come, and the less urgent are overtaken or dropped midway."""
 
-CROWD_COST = 1.2
+CROWDING_COST_SECONDS = 1.2
 """Seconds by which a server counts as worse for each whole of its places
-above `CROWDED`; a full one so counts 0.36 s more, about the way to another
-region and the reading of shared parts there."""
+above `CROWDED_OCCUPANCY`; a full one so counts 0.36 s more, about the way to
+another region and the reading of shared parts there."""
 
 
-def crowding(used):
+def occupancy_cost(occupancy):
     """Return the seconds by which a server counts as worse.
 
     Args:
-        used: Part of its places that are taken; may exceed 1.
+        occupancy: Part of its places that are taken; may exceed 1.
     """
-    return used * BATCH_COST + max(0.0, used - CROWDED) * CROWD_COST
+    return (
+        occupancy * OCCUPANCY_COST_SECONDS
+        + max(0.0, occupancy - CROWDED_OCCUPANCY) * CROWDING_COST_SECONDS
+    )
 
 
-READING_COST = 2.0
+PREFILL_COST_FACTOR = 2.0
 """Part by which the reading of a prompt counts more in a comparison of
 servers: it delays all who wait behind as well."""
 
 
-ANSWER_COST = 0.05
+ANSWER_COST_FACTOR = 0.05
 """Part by which the time of a whole answer counts in a comparison: a
 server that reads prompts all the time makes a long answer six times as
 slowly, and one that takes too long is cut at its caller's deadline."""
 
-CUT_SHARE = 0.6
+SAFE_DEADLINE_FRACTION = 0.6
 """Part of the time allowed up to which an answer is sure to end in time;
 callers' estimates of its length are often off by half."""
 
-CUT_COST = 1.5
+CUT_ANSWER_COST_SECONDS = 1.5
 """Seconds by which a server counts as worse for each whole of that part by
 which an answer would take longer there."""
 
@@ -59,7 +62,7 @@
 """Classes of urgency that differ in how long they wait: 2, 4 and 6."""
 
 
-def answering(tokens, token_seconds, allowed):
+def answer_cost(tokens, token_seconds, allowed):
     """Return the seconds by which a slow answer makes a server worse.
 
     Args:
@@ -68,8 +71,10 @@
         allowed: Seconds in which the answer must be whole.
     """
     seconds = tokens * token_seconds
-    over = max(0.0, seconds / max(allowed * CUT_SHARE, 0.1) - 1.0)
-    return seconds * ANSWER_COST + min(1.0, over) * CUT_COST
+    over = max(0.0, seconds / max(allowed * SAFE_DEADLINE_FRACTION, 0.1) - 1.0)
+    return (
+        seconds * ANSWER_COST_FACTOR + min(1.0, over) * CUT_ANSWER_COST_SECONDS
+    )
 
 
 def rank_of(urgency):
@@ -95,14 +100,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
+class EstimateRequest:
     """What is asked of each server about one request.
 
     Attributes:
         demand: The `Demand`.
         urgency: Its rank among waiting requests.
         now: The time.
-        elsewhere: Most tokens of the prompt that one server has cached.
+        most_cached: Most tokens of the prompt that one server has cached.
         readings: Seconds of reading by tokens to be read, kept from one
             server to the next.
     """
@@ -110,12 +115,12 @@
     demand: Demand
     urgency: int
     now: float
-    elsewhere: int = 0
-    readings: dict = field(default_factory=dict)
+    most_cached: int = 0
+    idle_seconds_by_tokens: dict = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Assessment:
+class Estimate:
     """What a server would do for a request.
 
     Attributes:
@@ -130,7 +135,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class Placement:
     """A request that was placed at a server.
 
     Attributes:
@@ -158,17 +163,17 @@
     number: int
     server_id: str
     placed_at: float
-    fresh_tokens: int = 0
+    uncached_tokens: int = 0
     tokens: int = 0
     tokens_out: int = 0
     urgency: int = 5
     predicted: float = 0.0
     started: bool = False
     started_at: float = 0.0
-    alone: bool = False
-    reading: float = 0.0
+    found_idle: bool = False
+    prefill_seconds: float = 0.0
     lost: bool = False
-    read_before: float = 0.0
+    prefill_seconds_at_start: float = 0.0
     apart: str = ""
 
     @property
--- a/src/hyssopspring/traffic/workspaces.py
+++ b/src/hyssopspring/traffic/workspaces.py
@@ -22,7 +22,7 @@
     rate: float
     burst: float
     plain_tokens: int = 1
-    by_request: bool = False
+    counts_requests: bool = False
 
     def count(self, tokens):
         """Return what a request counts.
@@ -30,7 +30,7 @@
         Args:
             tokens: Tokens that it states, or `NOTHING`.
         """
-        if self.by_request:
+        if self.counts_requests:
             return 1
         return self.plain_tokens if tokens is NOTHING else tokens
 
--- a/src/hyssopspring_fakes/crashload.py
+++ b/src/hyssopspring_fakes/crashload.py
@@ -16,7 +16,11 @@
     Verdict,
     is_early,
 )
-from hyssopspring.traffic.decisions import Ask, Away, Placed
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+)
 from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.servers import ServerEntry
 
@@ -200,7 +204,7 @@
             load.refused = True
             return
         waited = now - load.at
-        ask = Ask(
+        ask = PlacementQuery(
             host="h",
             number=load.number,
             service="engine",
@@ -213,7 +217,7 @@
             apart=trial.name if verdict is Verdict.ALONE else "",
         )
         decision = self.placers[region].place(ask, now)
-        if isinstance(decision, Away):
+        if isinstance(decision, PlacedRemotely):
             load.delay = ONE_WAY
             self.moving.append((now + ONE_WAY, load, decision.region))
         elif isinstance(decision, Placed):
--- a/src/hyssopspring_fakes/emulation.py
+++ b/src/hyssopspring_fakes/emulation.py
@@ -12,7 +12,11 @@
 from dataclasses import dataclass, field
 
 from hyssopspring.entry.asking import ANSWER_WITHIN
-from hyssopspring.traffic.decisions import Ask, Away, Placed
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+)
 from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
@@ -426,7 +430,7 @@
                 lambda one: 6.0,
                 rng,
                 lambda now: set(shape.engines),
-                off=shape.off,
+                disabled=shape.off,
             )
             for region in shape.engines
         }
@@ -527,7 +531,7 @@
             self.send_nearest(load, region)
             return
         waited = now - load.at
-        ask = Ask(
+        ask = PlacementQuery(
             host="h",
             number=load.number,
             service="engine",
@@ -546,7 +550,7 @@
             if decision.copy_from:
                 engine.copy(load, self.engines[decision.copy_from])
             engine.add(load, now)
-        elif isinstance(decision, Away):
+        elif isinstance(decision, PlacedRemotely):
             load.delay = ONE_WAY
             self.moving.append((now + ONE_WAY, load, decision.region))
         else:
@@ -603,4 +607,4 @@
         for _, region, loads in heard:
             for other, placer in self.placers.items():
                 if other != region:
-                    placer.take_load(region, dict(loads), now)
+                    placer.apply_load_report(region, dict(loads), now)
--- a/tests/entry_hosts.py
+++ b/tests/entry_hosts.py
@@ -170,7 +170,8 @@
         """Wait until each host knows the other's load."""
         await self.until(
             lambda: all(
-                process.placer.others.told_at and process.is_ready()
+                process.placer.remote_regions.reported_at
+                and process.is_ready()
                 for process in self.processes.values()
             )
         )
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -25,7 +25,7 @@
 from hyssopspring.entry.notices import Notices
 from hyssopspring.entry.views import ConfirmedView, ViewChecking
 from hyssopspring.traffic.crashes import Crashes
-from hyssopspring.traffic.decisions import Ask, Placed
+from hyssopspring.traffic.decisions import Placed, PlacementQuery
 from hyssopspring.traffic.members import Member, Members
 from hyssopspring.traffic.rests import Rests
 from hyssopspring.traffic.routes import Configuration, ConfigurationKeeper
@@ -87,10 +87,10 @@
         """Return no load."""
         return {}
 
-    def take_load(self, region, loads, now):
+    def apply_load_report(self, region, loads, now):
         """Do nothing."""
 
-    def keep_only(self, host, numbers, now, *, older_than):
+    def retain_placements(self, host, numbers, now, *, older_than):
         """Do nothing."""
 
     def forget(self, key):
@@ -442,7 +442,7 @@
     def ask(self, host, now):
         """Make one request at a host, which asks those that place."""
         self.number += 1
-        ask = Ask(
+        ask = PlacementQuery(
             host=host.members.own.name,
             number=self.number,
             service="engine",
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -19,7 +19,13 @@
     decode_message,
     encode_message,
 )
-from hyssopspring.traffic.decisions import Ask, Away, Limited, Placed, Refused
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+    Refused,
+)
 from hyssopspring.traffic.members import Member, Members
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.rests import Rests
@@ -30,9 +36,9 @@
     Placed("server", "127.0.0.1:80", 3, 0.25),
     Placed("server", "127.0.0.1:80", 2, 0.5, at_once=True),
     Placed("server", "127.0.0.1:80", 2, 0.5, copy_from="127.0.0.2:80"),
-    Away("south", 0.4),
+    PlacedRemotely("south", 0.4),
     Refused(0.75, 1.5, 4),
-    Limited(0.3, "placer", 3333, -120, 90_000),
+    RateLimited(0.3, "placer", 3333, -120, 90_000),
 ]
 
 
@@ -131,7 +137,9 @@
     asker = asking.members.others["asker"]
 
     def ask(number):
-        message = ask_message(Ask(host="asker", number=number, service="s"))
+        message = ask_message(
+            PlacementQuery(host="asker", number=number, service="s")
+        )
         asking.take_question(message, asker)
 
     for number in range(30):
@@ -158,7 +166,7 @@
     """
     asking, clock, sent = make_asking("asker", "placer")
     done = defer.ensureDeferred(
-        asking.place(Ask(host="", number=0, service="plain"))
+        asking.place(PlacementQuery(host="", number=0, service="plain"))
     )
     clock.advance(0.2)
     number, decision = done.result
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -24,7 +24,7 @@
     for gap in gaps:
         now += gap
         for placer in placers:
-            if placer.free("s1", BOUND, now):
+            if placer.is_allowed("s1", BOUND, now):
                 placer.count("s1", now)
                 sent.append(now)
     for start in sent:
@@ -37,8 +37,8 @@
     rates = ColdRates()
     rates.count("s1", 0.0)
     rates.count("s1", 0.1)
-    assert not rates.free("s1", BOUND, 0.5)
-    assert rates.free("s1", BOUND, 2.0)
+    assert not rates.is_allowed("s1", BOUND, 0.5)
+    assert rates.is_allowed("s1", BOUND, 2.0)
 
 
 @given(
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -11,7 +11,7 @@
 from testtools.matchers import Equals
 
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.traffic.decisions import Ask, Placed, urgency_of
+from hyssopspring.traffic.decisions import Placed, PlacementQuery, urgency_of
 from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
@@ -48,14 +48,14 @@
     )
 
 
-def make_ask(rng, number):
+def make_query(rng, number):
     """Return a request with shared parts."""
     parts = (
         (f"a{rng.randrange(3)}", 1500),
         (f"b{rng.randrange(20)}", 2500),
         (f"c{number}", rng.choice((200, 2000, 9000))),
     )
-    return Ask(
+    return PlacementQuery(
         host=f"h{rng.randrange(3)}",
         number=number,
         service="engine",
@@ -70,12 +70,12 @@
     )
 
 
-def best_by_walk(placer, ask, now):
+def costs_by_full_scan(placer, query, now):
     """Return the identifier of the best engine, all of each looked at."""
-    urgency = urgency_of(ask)
-    views = placer.usable(ask, now, True)
-    demand = ask.demand
-    most = max(view.work.known_tokens(demand) for view in views)
+    urgency = urgency_of(query)
+    views = placer.eligible_servers(query, now, True)
+    demand = query.demand
+    most = max(view.work.cached_prefix_tokens(demand) for view in views)
     costs = {}
     for view in views:
         copied = view.work.copied_tokens(demand, most)
@@ -88,22 +88,24 @@
 def check_sums(placer):
     """Check what is kept against the requests in progress."""
     for work in placer.work.values():
-        waiting = [one for one in work.tickets.values() if one.waiting]
+        waiting = [one for one in work.placements.values() if one.waiting]
         assert_that(
-            sorted(work.queue.tickets.values(), key=id),
+            sorted(work.queue.placements.values(), key=id),
             Equals(sorted(waiting, key=id)),
         )
         for urgency in range(10):
-            reading = sum(
-                one.reading for one in waiting if one.urgency <= urgency
+            prefill_seconds = sum(
+                one.prefill_seconds
+                for one in waiting
+                if one.urgency <= urgency
             )
-            kept = work.queue.seconds_until(urgency)
-            assert abs(kept - reading) < 1e-9
+            kept = work.queue.seconds_up_to(urgency)
+            assert abs(kept - prefill_seconds) < 1e-9
         assert_that(work.cached_tokens, Equals(sum(work.cached.values())))
-        held = sum(one.tokens for one in work.tickets.values())
-        assert_that(work.held, Equals(held))
+        held = sum(one.tokens for one in work.placements.values())
+        assert_that(work.held_tokens, Equals(held))
     by_host = sum(len(one) for one in placer.by_host.values())
-    assert_that(by_host, Equals(len(placer.tickets)))
+    assert_that(by_host, Equals(len(placer.placements)))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -117,43 +119,48 @@
     now = 0.0
     for number in range(STEPS):
         now += rng.random() * 0.05
-        ask = make_ask(rng, number)
-        costs = best_by_walk(placer, ask, now)
-        offer = placer.best_of(
-            placer.usable(ask, now, True), ask, urgency_of(ask), now
+        query = make_query(rng, number)
+        costs = costs_by_full_scan(placer, query, now)
+        candidate = placer.best_candidate(
+            placer.eligible_servers(query, now, True),
+            query,
+            urgency_of(query),
+            now,
         )
         least = min(cost for cost, _ in costs.values())
-        found = offer.place.entry.id
+        found = candidate.target.entry.id
         assert_that(costs[found][0], Equals(least))
-        assert_that(round(offer.cost, 9), Equals(least))
-        assert_that(round(offer.predicted, 9), Equals(costs[found][1]))
-        decision = placer.place(ask, now)
+        assert_that(round(candidate.cost, 9), Equals(least))
+        assert_that(round(candidate.predicted, 9), Equals(costs[found][1]))
+        decision = placer.place(query, now)
         assert isinstance(decision, Placed)
         for _ in range(rng.randrange(5)):
-            move_on(placer, rng, now)
+            advance_one_request(placer, rng, now)
         check_sums(placer)
 
 
-def move_on(placer, rng, now):
+def advance_one_request(placer, rng, now):
     """Let one request begin, or end."""
-    if not placer.tickets:
+    if not placer.placements:
         return
-    key = rng.choice(list(placer.tickets))
-    ticket = placer.tickets[key]
-    if not ticket.started and rng.random() < 0.7:
-        placer.note_start(*key, now - ticket.placed_at, now)
+    key = rng.choice(list(placer.placements))
+    placement = placer.placements[key]
+    if not placement.started and rng.random() < 0.7:
+        placer.note_start(*key, now - placement.placed_at, now)
     else:
         finding = rng.choice((Finding.ANSWERED, Finding.CANCELLED))
-        placer.note_end(*key, ticket.server_id, finding, now)
+        placer.note_end(*key, placement.server_id, finding, now)
 
 
 def test_a_service_that_changes_is_looked_at_anew(placer):
     """Requests go on to a server that has left, from a list that is kept."""
-    ask = make_ask(random.Random(1), 1)
-    first = placer.best_of(placer.usable(ask, 0.0, True), ask, 4, 0.0)
-    placer.registry.remove(first.place.entry.id, 0.0, outage=False)
-    views = placer.usable(ask, 0.0, True)
-    assert first.place not in [view.server for view in views]
+    query = make_query(random.Random(1), 1)
+    first = placer.best_candidate(
+        placer.eligible_servers(query, 0.0, True), query, 4, 0.0
+    )
+    placer.registry.remove(first.target.entry.id, 0.0, outage=False)
+    views = placer.eligible_servers(query, 0.0, True)
+    assert first.target not in [view.server for view in views]
     assert_that(len(views), Equals(ENGINES - 1))
     placer.registry.evacuate(["a"], 0.0, lambda service: NOTHING)
-    assert_that(placer.usable(ask, 0.0, True), Equals([]))
+    assert_that(placer.eligible_servers(query, 0.0, True), Equals([]))
--- a/tests/test_enginework.py
+++ b/tests/test_enginework.py
@@ -5,11 +5,15 @@
 from testtools.matchers import Equals, Is
 
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.traffic.decoding import DecodingFigures, Duty, RankShares
+from hyssopspring.traffic.decoding import (
+    DecodeTimes,
+    DutyCycle,
+    RankUtilization,
+)
 from hyssopspring.traffic.enginework import EngineWork
-from hyssopspring.traffic.reading import ReadingFigures, pairs_of
+from hyssopspring.traffic.prefill import PrefillTimes, attention_pairs
 from hyssopspring.traffic.routes import EngineSpec
-from hyssopspring.traffic.work import Demand, Ticket, answering
+from hyssopspring.traffic.work import Demand, Placement, answer_cost
 
 LONG = Demand(tokens_in=40_000, tokens_out=100)
 SHORT = Demand(tokens_in=800, tokens_out=300)
@@ -19,7 +23,7 @@
 def engine():
     """Return the model of an idle engine."""
     spec = EngineSpec(slots=64, memory_tokens=408_193)
-    return EngineWork(spec, ReadingFigures(), DecodingFigures())
+    return EngineWork(spec, PrefillTimes(), DecodeTimes())
 
 
 @pytest.fixture
@@ -28,19 +32,19 @@
     numbers = iter(range(1, 1000))
 
     def place(demand, urgency, now):
-        ticket = Ticket(
+        placement = Placement(
             host="h1",
             number=next(numbers),
             server_id="e1",
             placed_at=now,
-            fresh_tokens=demand.tokens_in,
+            uncached_tokens=demand.tokens_in,
             tokens=demand.tokens_in + demand.tokens_out,
             tokens_out=demand.tokens_out,
             urgency=urgency,
             predicted=engine.predict(demand, urgency, now),
         )
-        engine.begin(ticket, demand)
-        return ticket
+        engine.begin(placement, demand)
+        return placement
 
     return place
 
@@ -53,8 +57,8 @@
     0.04 s, as if it could overtake.
     """
     put(LONG, 6, 0.0)
-    alone = engine.alone(SHORT, SHORT.tokens_in)
-    rest = engine.alone(LONG, LONG.tokens_in) - 0.2
+    alone = engine.idle_seconds(SHORT, SHORT.tokens_in)
+    rest = engine.idle_seconds(LONG, LONG.tokens_in) - 0.2
     predicted = engine.predict(SHORT, 2, 0.2)
     assert_that(round(predicted, 6), Equals(round(rest + alone, 6)))
 
@@ -74,7 +78,7 @@
     put(LONG, 6, 0.01)
     urgent = put(SHORT, 2, 0.02)
     engine.start(first, 0.05, 0.05)
-    assert_that(engine.head, Is(urgent))
+    assert_that(engine.active_prefill, Is(urgent))
 
 
 def test_a_prompt_whose_answer_is_lost_holds_up_nobody(engine, put):
@@ -86,14 +90,18 @@
     put(LONG, 2, 0.0)
     later = put(SHORT, 2, 1.0)
     engine.start(later, 0.3, 1.3)
-    assert_that(engine.head, Is(NOTHING))
-    assert_that(engine.ahead(6, 1.3), Equals(0.0))
+    assert_that(engine.active_prefill, Is(NOTHING))
+    assert_that(engine.prefill_wait(6, 1.3), Equals(0.0))
 
 
 def test_an_engine_that_stalls_looks_worse_with_time(engine, put):
     """Requests go on to an engine from which nothing has come for long."""
     put(SHORT, 2, 0.0)
-    assert engine.ahead(2, 3.0) > engine.ahead(2, 1.0) > engine.ahead(2, 0.1)
+    assert (
+        engine.prefill_wait(2, 3.0)
+        > engine.prefill_wait(2, 1.0)
+        > engine.prefill_wait(2, 0.1)
+    )
 
 
 def test_the_end_of_the_prompt_at_the_head_lets_others_go_on(engine, put):
@@ -101,9 +109,9 @@
     left = put(LONG, 6, 0.0)
     other = put(SHORT, 6, 0.1)
     engine.end(left, 0.2)
-    assert_that(engine.head, Is(other))
+    assert_that(engine.active_prefill, Is(other))
     engine.end(other, 0.3)
-    assert_that(engine.head, Is(NOTHING))
+    assert_that(engine.active_prefill, Is(NOTHING))
 
 
 @pytest.mark.parametrize(
@@ -117,29 +125,31 @@
     of three kinds read two dozen prompts of lengths as on the users'
     sheets, each off by up to 10 ms.
     """
-    figures = ReadingFigures()
+    prefill_times = PrefillTimes()
 
     def met(tokens):
-        pairs = pairs_of(tokens, tokens)
+        pairs = attention_pairs(tokens, tokens)
         return fixed + by_token * tokens + by_pair * pairs
 
     lengths = (700, 2400, 12_000, 900, 6_000, 30_000, 1_500, 18_000)
     for number, tokens in enumerate(lengths * 3):
         noise = 0.01 * (-1) ** number
-        figures.learn(tokens, pairs_of(tokens, tokens), met(tokens) + noise)
+        prefill_times.learn(
+            tokens, attention_pairs(tokens, tokens), met(tokens) + noise
+        )
     for tokens in (800, 9_000, 25_000):
-        told = figures.seconds(tokens, pairs_of(tokens, tokens))
+        told = prefill_times.seconds(tokens, attention_pairs(tokens, tokens))
         assert abs(told - met(tokens)) < 0.02 + 0.1 * met(tokens)
 
 
 def test_one_stalled_engine_does_not_spoil_what_is_known_of_all():
     """All engines look slow, and all callers are refused, for one."""
-    figures = ReadingFigures()
+    prefill_times = PrefillTimes()
     for _ in range(20):
-        figures.learn(9_000, pairs_of(9_000, 9_000), 0.2)
-    before = figures.seconds(9_000, pairs_of(9_000, 9_000))
-    figures.learn(9_000, pairs_of(9_000, 9_000), 8.0)
-    after = figures.seconds(9_000, pairs_of(9_000, 9_000))
+        prefill_times.learn(9_000, attention_pairs(9_000, 9_000), 0.2)
+    before = prefill_times.seconds(9_000, attention_pairs(9_000, 9_000))
+    prefill_times.learn(9_000, attention_pairs(9_000, 9_000), 8.0)
+    after = prefill_times.seconds(9_000, attention_pairs(9_000, 9_000))
     assert after < before * 1.1
 
 
@@ -152,18 +162,18 @@
     """
     idle = engine.token_time(0.0)
     for step in range(40):
-        ticket = put(LONG, 6, step * 0.8)
-        engine.start(ticket, 0.8, (step + 1) * 0.8)
+        placement = put(LONG, 6, step * 0.8)
+        engine.start(placement, 0.8, (step + 1) * 0.8)
     assert engine.token_time(32.0) > 3 * idle
     assert engine.token_time(60.0) < 1.5 * idle
 
 
 def test_an_answer_that_may_be_cut_costs_more_than_the_way_elsewhere():
     """The way to another region is 0.2 s; a cut answer is all lost."""
-    slow = answering(900, 0.02, 9.5)
-    quick = answering(900, 0.006, 9.5)
+    slow = answer_cost(900, 0.02, 9.5)
+    quick = answer_cost(900, 0.006, 9.5)
     assert slow - quick > 0.5
-    assert answering(24, 0.03, 9.5) - answering(24, 0.006, 9.5) < 0.1
+    assert answer_cost(24, 0.03, 9.5) - answer_cost(24, 0.006, 9.5) < 0.1
 
 
 def test_who_waits_counts_on_those_who_will_overtake():
@@ -171,17 +181,17 @@
 
     Half of the engine's time goes to more urgent ones, which keep coming.
     """
-    shares = RankShares()
+    shares = RankUtilization()
     for step in range(60):
         shares.note(0, 0.05, step * 0.1)
-    assert 1.6 < shares.stretch(2, 6.0) < 2.4
-    assert_that(shares.stretch(0, 6.0), Equals(1.0))
-    assert shares.stretch(2, 20.0) < 1.05
+    assert 1.6 < shares.slowdown(2, 6.0) < 2.4
+    assert_that(shares.slowdown(0, 6.0), Equals(1.0))
+    assert shares.slowdown(2, 20.0) < 1.05
 
 
 def test_the_part_of_the_time_with_reading_fades():
     """An engine that was busy once is avoided for good."""
-    duty = Duty()
+    duty = DutyCycle()
     duty.note(True, 0.0)
     duty.note(False, 10.0)
     assert duty.recent > 0.9
--- a/tests/test_margins.py
+++ b/tests/test_margins.py
@@ -5,7 +5,11 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals
 
-from hyssopspring.traffic.margins import COVERED, LARGEST, Margin
+from hyssopspring.traffic.margins import (
+    COVERED_FRACTION,
+    MAX_MARGIN_SECONDS,
+    Margin,
+)
 
 OBSERVATIONS = 4000
 
@@ -20,12 +24,12 @@
     margin = Margin()
     for _ in range(OBSERVATIONS):
         margin.learn(0.5, 0.5 + rng.random() * 0.1)
-    assert abs(margin.seconds - COVERED * 0.1) < 0.02
+    assert abs(margin.seconds - COVERED_FRACTION * 0.1) < 0.02
 
 
 def test_calm_times_need_no_margin():
     """Callers are refused although engines are idle."""
-    margin = Margin(seconds=LARGEST)
+    margin = Margin(seconds=MAX_MARGIN_SECONDS)
     for _ in range(OBSERVATIONS):
         margin.learn(0.5, 0.45)
     assert_that(margin.seconds, Equals(0.0))
@@ -36,4 +40,4 @@
     margin = Margin()
     for _ in range(OBSERVATIONS):
         margin.learn(0.1, 60.0)
-    assert_that(margin.seconds, Equals(LARGEST))
+    assert_that(margin.seconds, Equals(MAX_MARGIN_SECONDS))
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -7,10 +7,15 @@
 from testtools.matchers import Equals, IsInstance
 
 from hyssopspring.core.hashing import short_id
-from hyssopspring.traffic.decisions import Ask, Away, Placed, Refused
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    Refused,
+)
 from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
-from hyssopspring.traffic.regions import RegionLoad, Room
+from hyssopspring.traffic.regions import RegionLoad, ServerCapacity
 from hyssopspring.traffic.routes import EngineSpec, Service
 from hyssopspring.traffic.servers import Registry, ServerEntry
 from hyssopspring.traffic.work import Demand
@@ -69,13 +74,13 @@
 
 
 @pytest.fixture
-def ask():
-    """Return a function that makes the next `Ask`."""
+def make_query():
+    """Return a function that makes the next `PlacementQuery`."""
     numbers = iter(range(1, 10_000))
 
     def make(service="engine", demand=REVIEW, **more):
         values = {"time_left": 0.8, "patience": 2.7, "priority": 1}
-        return Ask(
+        return PlacementQuery(
             host="h1",
             number=next(numbers),
             service=service,
@@ -86,23 +91,23 @@
     return make
 
 
-def tell(placer, region, now=0.0, *, servers=2, wait=0.0):
+def report_load(placer, region, now=0.0, *, servers=2, wait=0.0):
     """Let *region* report its load."""
-    rooms = (Room((wait,) * 3, 0.1),) * servers
-    loads = {name: RegionLoad(20, rooms) for name in SERVICES}
-    placer.take_load(region, loads, now)
+    capacities = (ServerCapacity((wait,) * 3, 0.1),) * servers
+    loads = {name: RegionLoad(20, capacities) for name in SERVICES}
+    placer.apply_load_report(region, loads, now)
 
 
-def test_a_prompt_goes_where_its_parts_are_cached(placer, ask):
+def test_a_prompt_goes_where_its_parts_are_cached(placer, make_query):
     """Parts that were read a moment ago are not read again elsewhere."""
-    first = placer.place(ask(), 0.0)
+    first = placer.place(make_query(), 0.0)
     placer.note_start("h1", 1, 0.3, 0.3)
-    second = placer.place(ask(), 0.5)
+    second = placer.place(make_query(), 0.5)
     assert_that(second.server_id, Equals(first.server_id))
     assert second.predicted < first.predicted / 2
 
 
-def test_affinity_gives_way_to_load(placer, ask):
+def test_affinity_gives_way_to_load(placer, make_query):
     """A popular subject must not pile up on one engine beside an idle one."""
     demands = [
         Demand(
@@ -112,26 +117,28 @@
         )
         for n in range(12)
     ]
-    decisions = [placer.place(ask(demand=one), 0.0) for one in demands]
+    decisions = [placer.place(make_query(demand=one), 0.0) for one in demands]
     used = {one.server_id for one in decisions if isinstance(one, Placed)}
     assert_that(used, Equals({"e1", "e2"}))
 
 
-def test_a_peak_goes_to_regions_with_room_and_the_rest_is_refused(placer, ask):
+def test_a_peak_goes_to_regions_with_room_and_the_rest_is_refused(
+    placer, make_query
+):
     """Callers wait for seconds in one region while others are idle.
 
     A peak arrives at once. What the region can begin in time stays, what
     others can begin in time goes there, and what nobody can begin in time
     is refused at once with a time to come back.
     """
-    tell(placer, "south")
+    report_load(placer, "south")
     demands = [
         Demand(parts=((f"own-{n}", 9190),), tokens_in=9190, tokens_out=50)
         for n in range(60)
     ]
-    decisions = [placer.place(ask(demand=one), 0.0) for one in demands]
+    decisions = [placer.place(make_query(demand=one), 0.0) for one in demands]
     here = [one for one in decisions if isinstance(one, Placed)]
-    away = [one for one in decisions if isinstance(one, Away)]
+    away = [one for one in decisions if isinstance(one, PlacedRemotely)]
     refused = [one for one in decisions if isinstance(one, Refused)]
     assert 2 <= len(here) <= 12
     assert len(away) >= 1
@@ -141,47 +148,49 @@
     assert len(waits) > 10
 
 
-def test_a_stream_that_has_begun_goes_on_although_late(placer, ask):
+def test_a_stream_that_has_begun_goes_on_although_late(placer, make_query):
     """A caller's quote is cut in the middle while servers are busy.
 
     Its server has failed and another is to go on with it. Nobody can do so
     within the objective, and a new request would be refused; this one's
     caller has read half of the answer and still waits.
     """
-    while not isinstance(placer.place(ask(), 0.0), Refused):
+    while not isinstance(placer.place(make_query(), 0.0), Refused):
         pass
-    assert_that(placer.place(ask(begun=True), 0.0), IsInstance(Placed))
-    hopeless = ask(begun=True, patience=0.01)
+    assert_that(placer.place(make_query(begun=True), 0.0), IsInstance(Placed))
+    hopeless = make_query(begun=True, patience=0.01)
     assert_that(placer.place(hopeless, 0.0), IsInstance(Refused))
 
 
-def test_no_request_leaves_its_homes(placer, ask):
+def test_no_request_leaves_its_homes(placer, make_query):
     """A bound request reaches a region where its data must not be.
 
     Its own region has no server left. The only other home has refused it,
     and a third region, which is no home, is idle.
     """
-    tell(placer, "south")
-    tell(placer, "west")
-    bound = ask(
+    report_load(placer, "south")
+    report_load(placer, "west")
+    bound = make_query(
         regions=frozenset({"north", "south"}),
         excluded=("e1", "e2"),
         avoided=("south",),
     )
     assert_that(placer.place(bound, 0.0), IsInstance(Refused))
-    free = ask(excluded=("e1", "e2"), avoided=("south",))
+    free = make_query(excluded=("e1", "e2"), avoided=("south",))
     assert_that(placer.place(free, 0.0).region, Equals("west"))
 
 
-def test_a_region_that_is_no_home_places_nothing(placer, ask):
+def test_a_region_that_is_no_home_places_nothing(placer, make_query):
     """A caller's host stands in a region that must not serve it."""
-    tell(placer, "south")
-    decision = placer.place(ask(regions=frozenset({"south"})), 0.0)
-    assert_that(decision, IsInstance(Away))
+    report_load(placer, "south")
+    decision = placer.place(make_query(regions=frozenset({"south"})), 0.0)
+    assert_that(decision, IsInstance(PlacedRemotely))
     assert_that(decision.region, Equals("south"))
 
 
-def test_a_region_that_has_not_told_its_load_may_be_asked(placer, ask):
+def test_a_region_that_has_not_reported_its_load_may_be_used(
+    placer, make_query
+):
     """A host that has just started refuses what others could serve.
 
     It hears hosts of other regions, but their load reports have not come
@@ -196,20 +205,22 @@
         ),
         0.0,
     )
-    decision = placer.place(ask(excluded=("e1", "e2")), 0.0)
-    assert_that(decision, IsInstance(Away))
+    decision = placer.place(make_query(excluded=("e1", "e2")), 0.0)
+    assert_that(decision, IsInstance(PlacedRemotely))
     assert_that(decision.region, Equals("south"))
 
 
-def test_a_region_that_reports_no_server_gets_nothing(placer, ask):
+def test_a_region_that_reports_no_server_gets_nothing(placer, make_query):
     """Requests follow a region whose servers have just crashed."""
-    placer.take_load("south", {}, 0.0)
-    placer.take_load("west", {}, 0.0)
-    decision = placer.place(ask(excluded=("e1", "e2")), 0.0)
+    placer.apply_load_report("south", {}, 0.0)
+    placer.apply_load_report("west", {}, 0.0)
+    decision = placer.place(make_query(excluded=("e1", "e2")), 0.0)
     assert_that(decision, IsInstance(Refused))
 
 
-def test_a_cold_server_gets_its_share_and_no_more(placer, registry, ask):
+def test_a_cold_server_gets_its_share_and_no_more(
+    placer, registry, make_query
+):
     """Two engines come back cold and all requests fall on them at once."""
     for name in ("e1", "e2"):
         registry.put(
@@ -222,14 +233,14 @@
             ),
             0.0,
         )
-    decisions = [placer.place(ask(), n * 0.01) for n in range(80)]
+    decisions = [placer.place(make_query(), n * 0.01) for n in range(80)]
     sent = [one for one in decisions if isinstance(one, Placed)]
     assert_that(len(sent), Equals(4))
     assert all(one.at_once for one in sent)
 
 
 def test_a_host_that_stands_in_sends_nothing_to_cold_servers(
-    placer, registry, ask
+    placer, registry, make_query
 ):
     """The placing host is silent and each host decides by itself."""
     registry.put(
@@ -243,38 +254,44 @@
         0.0,
     )
     decisions = [
-        placer.place(ask(), 0.0, cold_allowed=False) for _ in range(4)
+        placer.place(make_query(), 0.0, cold_allowed=False) for _ in range(4)
     ]
     used = {one.server_id for one in decisions if isinstance(one, Placed)}
     assert_that(used, Equals({"e2"}))
 
 
-def test_an_unreachable_server_is_tried_by_one_request_at_a_time(placer, ask):
+def test_an_unreachable_server_is_tried_by_one_request_at_a_time(
+    placer, make_query
+):
     """Each request loses time at a server that does not answer."""
     placer.note_end("h1", 0, "p1", Finding.UNREACHED, 0.0)
-    early = {placer.place(ask("plain"), 0.1).server_id for _ in range(5)}
+    early = {
+        placer.place(make_query("plain"), 0.1).server_id for _ in range(5)
+    }
     assert_that(early, Equals({"p2"}))
-    later = [placer.place(ask("plain"), 0.7).server_id for _ in range(5)]
+    later = [
+        placer.place(make_query("plain"), 0.7).server_id for _ in range(5)
+    ]
     assert_that(later.count("p1"), Equals(1))
 
 
-def test_a_slow_server_that_answers_others_is_not_paused(placer, ask):
+def test_a_slow_server_that_answers_others_is_not_paused(placer, make_query):
     """One slow answer empties the only server of a region.
 
     A request was given up since the server had not begun; the server
     answers others all the while.
     """
-    placer.place(ask("plain"), 0.0)
-    ticket = next(iter(placer.tickets.values()))
-    placer.note_start("h1", ticket.number, 0.05, 0.4)
-    server = ticket.server_id
+    placer.place(make_query("plain"), 0.0)
+    placement = next(iter(placer.placements.values()))
+    placer.note_start("h1", placement.number, 0.05, 0.4)
+    server = placement.server_id
     placer.note_end("h1", 999, server, Finding.SILENT, 0.5)
     assert placer.evidence_of(server).open(0.6)
     placer.note_end("h1", 999, server, Finding.SILENT, 5.0)
     assert not placer.evidence_of(server).open(5.1)
 
 
-def test_memory_of_an_engine_is_not_overfilled(placer, ask):
+def test_memory_of_an_engine_is_not_overfilled(placer, make_query):
     """Streams stand still midway, since the engine drops some of them.
 
     Its memory ran out. A request that does not fit has to wait for the
@@ -283,52 +300,56 @@
     big = Demand(parts=(), tokens_in=60_000, tokens_out=50)
     patient = {"time_left": 60.0, "patience": 60.0}
     for _ in range(8):
-        placer.place(ask(demand=big, **patient), 0.0)
+        placer.place(make_query(demand=big, **patient), 0.0)
     work = placer.work["e1"]
     assert_that(work.slot_wait(1000, 0.0), Equals(0.0))
     assert work.slot_wait(60_000, 0.0) > 1.0
 
 
-def test_lost_word_of_an_end_does_not_load_a_server_forever(placer, ask):
+def test_a_lost_end_message_does_not_load_a_server_forever(placer, make_query):
     """A server gets nothing for long, since its last ends were not heard."""
-    placer.place(ask("plain"), 0.0)
-    number = next(iter(placer.tickets))[1]
-    placer.keep_only("h1", set(), 0.5, older_than=0.7)
-    assert_that(len(placer.tickets), Equals(1))
-    placer.keep_only("h1", {number}, 2.0, older_than=0.7)
-    assert_that(len(placer.tickets), Equals(1))
-    placer.keep_only("h1", set(), 2.0, older_than=0.7)
-    assert_that(len(placer.tickets), Equals(0))
+    placer.place(make_query("plain"), 0.0)
+    number = next(iter(placer.placements))[1]
+    placer.retain_placements("h1", set(), 0.5, older_than=0.7)
+    assert_that(len(placer.placements), Equals(1))
+    placer.retain_placements("h1", {number}, 2.0, older_than=0.7)
+    assert_that(len(placer.placements), Equals(1))
+    placer.retain_placements("h1", set(), 2.0, older_than=0.7)
+    assert_that(len(placer.placements), Equals(0))
 
 
-def test_work_of_a_lost_host_is_forgotten(placer, ask):
+def test_work_of_a_lost_host_is_forgotten(placer, make_query):
     """A host is killed; its requests have ended at their servers."""
-    placer.place(ask("plain"), 0.0)
+    placer.place(make_query("plain"), 0.0)
     placer.forget_host("h1", 5.0)
-    assert_that(placer.work["p1"].tickets, Equals({}))
-    assert_that(placer.work["p2"].tickets, Equals({}))
+    assert_that(placer.work["p1"].placements, Equals({}))
+    assert_that(placer.work["p2"].placements, Equals({}))
 
 
-def test_a_server_that_starts_again_has_no_work_and_no_cache(placer, ask):
+def test_a_server_that_starts_again_has_no_work_and_no_cache(
+    placer, make_query
+):
     """All requests of a region go to the engine that has just started.
 
     It has the identifier of the former one, whose cached parts made it
     look cheap, and whose failures must not count against it either.
     """
-    first = placer.place(ask(), 0.0)
+    first = placer.place(make_query(), 0.0)
     placer.note_end("h1", 99, first.server_id, Finding.UNREACHED, 0.1)
     placer.forget_server(first.server_id, 0.2)
     server = placer.registry.servers[first.server_id]
     work = placer.work_of(server)
-    assert_that(work.known_tokens(REVIEW), Equals(0))
-    assert_that(work.tickets, Equals({}))
-    assert_that(placer.tickets, Equals({}))
+    assert_that(work.cached_prefix_tokens(REVIEW), Equals(0))
+    assert_that(work.placements, Equals({}))
+    assert_that(placer.placements, Equals({}))
     assert placer.evidence_of(first.server_id).open(0.2)
     placer.note_start("h1", 1, 0.3, 0.3)
     placer.note_end("h1", 1, first.server_id, Finding.ANSWERED, 0.4)
 
 
-def test_a_prompt_goes_to_the_region_that_has_read_its_parts(placer, ask):
+def test_a_prompt_goes_to_the_region_that_has_read_its_parts(
+    placer, make_query
+):
     """Each region reads the same subjects of thousands of tokens again.
 
     The other region tells that it has read this one. The way there costs
@@ -339,23 +360,29 @@
         tokens_in=23_210,
         tokens_out=50,
     )
-    tell(placer, "south")
+    report_load(placer, "south")
     late = {"time_left": 1.2}
-    assert_that(placer.place(ask(demand=big, **late), 0.0), IsInstance(Placed))
-    told = placer.summarize(0.1)["engine"].read
+    assert_that(
+        placer.place(make_query(demand=big, **late), 0.0), IsInstance(Placed)
+    )
+    told = placer.summarize(0.1)["engine"].prefilled_parts
     assert_that(len(told), Equals(2))
     other = Demand(
         parts=(("s", 2520), ("u", 20_000), ("own", 690)),
         tokens_in=23_210,
         tokens_out=50,
     )
-    rooms = (Room((0.0,) * 3, 0.1),)
+    capacities = (ServerCapacity((0.0,) * 3, 0.1),)
     read = (short_id("s"), short_id("u"))
-    placer.take_load("south", {"engine": RegionLoad(64, rooms, read)}, 0.2)
-    decision = placer.place(ask(demand=other, **late), 5.0)
+    placer.apply_load_report(
+        "south", {"engine": RegionLoad(64, capacities, read)}, 0.2
+    )
+    decision = placer.place(make_query(demand=other, **late), 5.0)
     assert_that(decision, IsInstance(Placed))
-    placer.take_load("south", {"engine": RegionLoad(64, rooms, read)}, 5.0)
-    decision = placer.place(ask(demand=other, **late), 5.1)
+    placer.apply_load_report(
+        "south", {"engine": RegionLoad(64, capacities, read)}, 5.0
+    )
+    decision = placer.place(make_query(demand=other, **late), 5.1)
     assert_that(decision.region, Equals("south"))
 
 
@@ -367,7 +394,9 @@
 )
 
 
-def test_parts_are_copied_from_the_server_that_has_read_them(placer, ask):
+def test_parts_are_copied_from_the_server_that_has_read_them(
+    placer, make_query
+):
     """Engines read the same shared parts again beside one that has them.
 
     A subject is popular and its engine is busy, so the next request goes
@@ -375,7 +404,7 @@
     them 0.18 s.
     """
     placer.service_of = {"engine": COPYING, "plain": PLAIN}.get
-    first = placer.place(ask(), 0.0)
+    first = placer.place(make_query(), 0.0)
     demands = [
         Demand(
             parts=(*REVIEW.parts[:2], (f"own-{n}", 2890)),
@@ -384,22 +413,24 @@
         )
         for n in range(6)
     ]
-    decisions = [placer.place(ask(demand=one), 0.0) for one in demands]
+    decisions = [placer.place(make_query(demand=one), 0.0) for one in demands]
     other = next(one for one in decisions if one.server_id != first.server_id)
     assert_that(other.copy_from, Equals(first.address))
-    ticket = placer.tickets["h1", 2 + decisions.index(other)]
-    assert_that(ticket.fresh_tokens, Equals(2890))
+    placement = placer.placements["h1", 2 + decisions.index(other)]
+    assert_that(placement.uncached_tokens, Equals(2890))
     alike = [one for one in decisions if one.server_id == first.server_id]
     assert all(not one.copy_from for one in alike)
 
 
-def test_engines_that_cannot_copy_are_not_told_to(placer, ask):
+def test_engines_that_cannot_copy_are_not_asked_to(placer, make_query):
     """A server that cannot copy would be asked for what it does not know."""
-    decisions = [placer.place(ask(), 0.0) for _ in range(4)]
+    decisions = [placer.place(make_query(), 0.0) for _ in range(4)]
     assert not any(one.copy_from for one in decisions)
 
 
-def test_an_engine_known_before_the_configuration_is_an_engine(placer, ask):
+def test_an_engine_known_before_the_configuration_is_an_engine(
+    placer, make_query
+):
     """A few engines take all requests after every host was restarted.
 
     A host hears of servers before it has read the configuration, and takes
@@ -410,35 +441,41 @@
     placer.service_of = lambda name: Service(name=name)
     placer.summarize(0.0)
     placer.service_of = known
-    first = placer.place(ask(demand=REVIEW), 1.0)
+    first = placer.place(make_query(demand=REVIEW), 1.0)
     assert first.predicted > 0.2
     for _ in range(100):
-        if isinstance(placer.place(ask(), 1.0), Refused):
+        if isinstance(placer.place(make_query(), 1.0), Refused):
             return
     raise AssertionError("a hundred prompts were placed at two engines")
 
 
-def test_the_memory_in_use_is_the_sum_of_what_is_in_progress(placer, ask):
+def test_the_memory_in_use_is_the_sum_of_what_is_in_progress(
+    placer, make_query
+):
     """An engine looks full, or empty, for as long as it lives.
 
     The tokens in use are counted up and down with each request; an end
     that is heard twice or not at all must not leave a trace in the count.
     """
     for number in range(1, 9):
-        placer.place(ask(), number * 0.1)
+        placer.place(make_query(), number * 0.1)
         if number % 2:
             placer.note_end("h1", number, "e1", Finding.ANSWERED, 1.0)
             placer.note_end("h1", number, "e1", Finding.ANSWERED, 1.0)
-    placer.keep_only("h1", {8}, 5.0, older_than=0.7)
+    placer.retain_placements("h1", {8}, 5.0, older_than=0.7)
     for work in placer.work.values():
-        tokens = sum(ticket.tokens for ticket in work.tickets.values())
-        assert_that(work.held, Equals(tokens))
-    assert_that(len(placer.tickets), Equals(1))
+        tokens = sum(
+            placement.tokens for placement in work.placements.values()
+        )
+        assert_that(work.held_tokens, Equals(tokens))
+    assert_that(len(placer.placements), Equals(1))
     placer.forget_host("h1", 5.0)
-    assert_that({one.held for one in placer.work.values()}, Equals({0}))
+    assert_that({one.held_tokens for one in placer.work.values()}, Equals({0}))
 
 
-def test_hosts_that_stand_in_do_not_choose_the_same_server(ask, registry):
+def test_hosts_that_stand_in_do_not_choose_the_same_server(
+    make_query, registry
+):
     """One engine gets the requests of all hosts, the one beside it none.
 
     The placing host is silent, so each host decides for itself. None of
@@ -454,6 +491,6 @@
             random.Random(seed),
             lambda now: {"north"},
         )
-        decision = placer.place(ask(), 0.0, cold_allowed=False)
+        decision = placer.place(make_query(), 0.0, cold_allowed=False)
         chosen.add(decision.server_id)
     assert_that(chosen, Equals({"e1", "e2"}))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,42 +5,42 @@
 
 from hyssopspring.core.hashing import short_id
 from hyssopspring.traffic.regions import (
-    REMEMBERED,
-    REPORT_LAG,
-    Brought,
+    CACHED_PART_TTL_SECONDS,
+    REPORT_LAG_SECONDS,
+    AddedWork,
     CachedParts,
-    FarLoad,
     RegionLoad,
-    Room,
+    RemoteLoad,
+    ServerCapacity,
 )
 from hyssopspring.traffic.work import Demand
 
 WORK = 0.3
 """Seconds of one request at an engine."""
 
-REQUEST = Brought(WORK, 0, Demand())
+REQUEST = AddedWork(WORK, 0, Demand())
 """An urgent request with that much work."""
 
 
-def room(wait, used):
-    """Return a `Room` in which requests of all ranks wait alike."""
-    return Room((wait,) * 3, used)
+def capacity(wait, occupancy):
+    """Return a `ServerCapacity` in which requests of all ranks wait alike."""
+    return ServerCapacity((wait,) * 3, occupancy)
 
 
-def told(*rooms, slots=48, now=0.0):
-    """Return a `FarLoad` that has just heard of *rooms*."""
-    load = FarLoad()
-    load.take(RegionLoad(slots, tuple(rooms)), now)
+def reported(*rooms, slots=48, now=0.0):
+    """Return a `RemoteLoad` that has just heard of *rooms*."""
+    load = RemoteLoad()
+    load.apply_report(RegionLoad(slots, tuple(rooms)), now)
     return load
 
 
-def test_a_peak_is_spread_over_all_servers_that_were_told():
+def test_a_peak_is_spread_over_all_reported_servers():
     """Half of the peak is kept at home although another region is idle.
 
     A region counts what it sends between two reports. Counted against the
     region as a whole its best server seems to fill alone.
     """
-    load = told(*[room(0.0, 0.0)] * 4)
+    load = reported(*[capacity(0.0, 0.0)] * 4)
     for _ in range(4):
         load.count(REQUEST, 0.0)
     waits = [server.waits[0] for server in load.servers]
@@ -49,7 +49,7 @@
 
 def test_what_was_sent_runs_down():
     """Work that was sent a while ago no longer keeps requests away."""
-    load = told(room(0.5, 0.2))
+    load = reported(capacity(0.5, 0.2))
     assert_that(load.best(REQUEST, 0.2).waits[0], Equals(0.3))
     assert_that(load.best(REQUEST, 2.0).waits[0], Equals(0.0))
 
@@ -60,11 +60,15 @@
     A report left before the last requests arrived there. Taken as it is,
     it would offer the same room again.
     """
-    load = told(room(0.0, 0.0))
+    load = reported(capacity(0.0, 0.0))
     load.count(REQUEST, 0.0)
-    load.take(RegionLoad(48, (room(0.0, 0.0),)), REPORT_LAG / 2)
+    load.apply_report(
+        RegionLoad(48, (capacity(0.0, 0.0),)), REPORT_LAG_SECONDS / 2
+    )
     assert_that(load.servers[0].waits[0], Equals(WORK))
-    load.take(RegionLoad(48, (room(0.1, 0.0),)), REPORT_LAG * 2)
+    load.apply_report(
+        RegionLoad(48, (capacity(0.1, 0.0),)), REPORT_LAG_SECONDS * 2
+    )
     assert_that(load.servers[0].waits[0], Equals(0.1))
     assert_that(load.sent, HasLength(0))
 
@@ -73,10 +77,12 @@
     """The same shared parts are read in two regions by turns."""
     demand = Demand(parts=(("shared", 600), ("own", 100)), tokens_in=700)
     sent = CachedParts()
-    assert_that(sent.fresh_tokens(demand, 0.0), Equals(700))
+    assert_that(sent.uncached_tokens(demand, 0.0), Equals(700))
     sent.note(demand.parts[:1], 0.0)
-    assert_that(sent.fresh_tokens(demand, 1.0), Equals(100))
-    assert_that(sent.fresh_tokens(demand, REMEMBERED), Equals(700))
+    assert_that(sent.uncached_tokens(demand, 1.0), Equals(100))
+    assert_that(
+        sent.uncached_tokens(demand, CACHED_PART_TTL_SECONDS), Equals(700)
+    )
 
 
 def test_parts_that_a_region_has_read_count_as_cached_there():
@@ -90,5 +96,8 @@
         parts=(("a", 500), ("b", 4000), ("own", 700)), tokens_in=5200
     )
     parts.note_names([short_id("a"), short_id("b")], 1.0)
-    assert_that(parts.fresh_tokens(demand, 1.1), Equals(700))
-    assert_that(parts.fresh_tokens(demand, 1.0 + REMEMBERED), Equals(5200))
+    assert_that(parts.uncached_tokens(demand, 1.1), Equals(700))
+    assert_that(
+        parts.uncached_tokens(demand, 1.0 + CACHED_PART_TTL_SECONDS),
+        Equals(5200),
+    )
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -19,7 +19,7 @@
 from testtools.matchers import Equals, GreaterThan, LessThan
 
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.traffic.decisions import Ask, Placed
+from hyssopspring.traffic.decisions import Placed, PlacementQuery
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import Service
 from hyssopspring.traffic.serverlimits import (
@@ -296,7 +296,9 @@
             if at <= now - 0.6 < at + 0.05:
                 placer.note_start("h", other, 0.6, now)
                 placer.limits.hear(notice(1.5, now), now)
-        ask = Ask(host="h", number=len(sent), service="plain", patience=9.0)
+        ask = PlacementQuery(
+            host="h", number=len(sent), service="plain", patience=9.0
+        )
         if isinstance(placer.place(ask, now), Placed):
             sent.append(now)
     assert_that(len(sent), LessThan(most_allowed(1.5) + 1))
