--- a/src/hyssopspring/traffic/__init__.py
+++ b/src/hyssopspring/traffic/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions on routed traffic: routes, servers, placement, budgets.
+"""Decisions on requests: routes, servers, placement, retry budgets.
 
-Nothing here reads a clock, a socket or a file; times are passed in, in
-seconds of the runtime's clock.
+Nothing here reads a clock, a socket or a file. Times are passed in, in seconds
+of the runtime's clock.
 """
--- a/src/hyssopspring/traffic/candidates.py
+++ b/src/hyssopspring/traffic/candidates.py
@@ -1,4 +1,4 @@
-"""What a server or a region would do for a request."""
+"""Candidates for the placement of a request."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """What a server here, or another region, would do for a request.
+    """A server of this region, or another region, for a request.
 
     Attributes:
-        place: The `Server`, or the name of the region.
+        target: The `Server`, or the name of the region.
         predicted: Seconds to the answer or first event.
-        cost: Seconds that count in a comparison.
-        copied: Tokens that the server would copy from another.
+        cost: Cost in seconds for the comparison of candidates.
+        copied: Tokens that the server would copy from another server.
         copy_from: Address of that other server.
     """
 
--- a/src/hyssopspring/traffic/coldrates.py
+++ b/src/hyssopspring/traffic/coldrates.py
@@ -1,25 +1,26 @@
-"""The rate of requests to servers that have just started."""
+"""Rate limits for servers that have just started."""
 
 from collections import deque
 
 __all__ = ["ColdRates"]
 
 WINDOW_SECONDS = 1.3
-"""Seconds over which requests are counted. The bound holds for any second
-at the server; what is more covers the different times that requests need
-on their way."""
+"""Seconds over which requests are counted. The bound holds for any second at
+the server; the rest of the window covers the different latencies of requests
+on their way to it."""
 
 CONCURRENT_PLACERS = 3
-"""Hosts that may place for one region at the same time while views of who
-lives differ. All of them together must stay within the bound."""
+"""Maximum number of hosts that may place requests for one region at the same
+time while their views of the live hosts differ. All of them together must stay
+within the bound."""
 
 
 class ColdRates:
     """Count the requests to each cold server.
 
-    A cold server crashes at a rate well above its bound. The one host
-    that places for a region counts exactly; the allowance leaves room for
-    other hosts that believe that they place.
+    A cold server crashes at a rate well above its bound. The one host that
+    places requests for a region counts exactly. The allowance leaves a share
+    for other hosts that act as the placing host at the same time.
 
     Args:
         window: Seconds over which requests are counted.
@@ -30,11 +31,11 @@
         self.sent = {}
 
     def allowance(self, bound):
-        """Return the requests that one placer may send in a window."""
+        """Return the requests that one host may send in a window."""
         return max(0, int(bound // CONCURRENT_PLACERS))
 
     def is_allowed(self, server_id, bound, now):
-        """Whether the server can be sent a request at *now*."""
+        """Return whether a request may be sent to the server at *now*."""
         times = self.sent.get(server_id)
         if times is None:
             return self.allowance(bound) > 0
@@ -43,10 +44,10 @@
         return len(times) < self.allowance(bound)
 
     def count(self, server_id, now):
-        """Count a request to a server, cold or not.
+        """Count a request to a server, whether it is cold or not.
 
-        Requests to a warm server count too: it may turn out to have been
-        cold already when they were sent.
+        Requests to a warm server count as well: it may turn out that it was
+        already cold when they were sent.
         """
         times = self.sent.get(server_id)
         if times is None:
@@ -54,5 +55,5 @@
         times.append(now)
 
     def forget(self, server_id):
-        """Drop what is known of a server that is gone."""
+        """Remove the counts of a server that is gone."""
         self.sent.pop(server_id, None)
--- a/src/hyssopspring/traffic/decisions.py
+++ b/src/hyssopspring/traffic/decisions.py
@@ -1,4 +1,4 @@
-"""What is asked about a request, and what may be decided on it."""
+"""Placement queries, and the decisions on them."""
 
 from dataclasses import dataclass
 
@@ -16,27 +16,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementQuery:
-    """What must be known of a request to place it.
+    """The properties of a request that its placement depends on.
 
     Attributes:
-        host: Host that carries it out.
+        host: Host that runs the request.
         number: The host's number for it.
         service: Service that it needs.
         demand: Its `Demand`.
-        time_left: Seconds in which it would meet its objective.
-        patience: Seconds in which an answer is of use at all.
-        priority: Rank among the routes of the service; 0 is highest.
-        excluded: Identifiers of servers that it must not go to.
+        time_left: Seconds within which it would meet its objective.
+        patience: Seconds after which an answer is of no use to the caller.
+        priority: Rank among the routes of the service; 0 is the highest.
+        excluded: Identifiers of servers that must not get it.
         regions: Regions that may serve it; empty for all.
-        avoided: Regions that have refused it already.
+        avoided: Regions that have already refused it.
         may_leave: Whether it may be sent to another region.
-        begun: Whether its caller holds a part of the answer already.
-        apart: Fingerprint of a request that must run apart from others
-            like it, or an empty string.
-        workspace: Name of the workspace whose limit it takes from, or an
+        begun: Whether its caller already holds a part of the answer.
+        apart: Fingerprint of a request that must be isolated from other
+            suspected requests, or an empty string.
+        workspace: Name of the workspace whose limit it counts against, or an
             empty string.
-        cost: Tokens that it takes; 0 if there is no limit, or if another
-            host has counted them.
+        cost: Tokens that it counts; 0 if there is no limit, or if another host
+            has counted them.
     """
 
     host: str
@@ -58,18 +58,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """Send it to a server.
+    """Send the request to a server.
 
     Attributes:
         server_id: The server.
         address: Its ``ip:port``.
         urgency: Rank for the server; 0 goes first.
         predicted: Seconds to the answer or first event.
-        at_once: Whether the server takes only so many requests a second,
-            so that the placement must be used at once or not at all.
-        copy_from: Address of a server from which it is to copy parts of
-            the prompt that it has not cached, or an empty string.
-        evidence: What named a limit of the server, for a log line.
+        at_once: Whether the server accepts only a limited rate of requests, so
+            that the placement must be used at once or not at all.
+        copy_from: Address of a server from which to copy parts of the prompt
+            that this server has not cached, or an empty string.
+        evidence: Source of the limit of the server, for a log line.
     """
 
     server_id: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacedRemotely:
-    """Send it to a host of another region.
+    """Send the request to a host of another region.
 
     Attributes:
         region: The region.
@@ -96,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Refuse it at once.
+    """Refuse the request at once.
 
     Attributes:
-        retry_after: Seconds after which there should be room.
+        retry_after: Seconds after which capacity is expected.
         predicted: Seconds to an answer if it were admitted.
-        servers: Servers of this region that could take requests.
-        evidence: What named the limit of the server that is first to take
-            one again, for a log line.
+        servers: Number of servers of this region that accept requests.
+        evidence: Source of the limit of the server that is the first to accept
+            a request again, for a log line.
     """
 
     retry_after: float
@@ -114,14 +114,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimited:
-    """Refuse it: its workspace has reached its limit.
+    """Refuse the request, since its workspace has reached its limit.
 
     Attributes:
-        retry_after: Seconds after which there should be enough.
+        retry_after: Seconds after which enough tokens are available.
         host: Host that counts.
         units: Units of the limit, of 10,000, that this host may use.
         level: Tokens that were left.
-        demand: Tokens a second that are asked for there.
+        demand: Tokens a second that are requested at that host.
     """
 
     retry_after: float
@@ -134,6 +134,7 @@
 def urgency_of(query):
     """Return the urgency of a request that can be on time.
 
-    Ranks 2 to 6 leave room for late ones behind and for none before.
+    The urgencies 2 to 6 leave larger values for late requests and no smaller
+    ones.
     """
     return min(6, 2 + max(0, query.priority) * 2)
--- a/src/hyssopspring/traffic/decoding.py
+++ b/src/hyssopspring/traffic/decoding.py
@@ -1,4 +1,4 @@
-"""How long the engines of a service need for an output token, learned."""
+"""Times of the engines of a service for an output token, learned."""
 
 import math
 from dataclasses import dataclass, field
@@ -9,45 +9,45 @@
 
 INITIAL_IDLE_TOKEN_SECONDS = 0.006
 INITIAL_BUSY_TOKEN_SECONDS = 0.035
-"""Seconds for an output token, to begin with, of an engine that reads no
-prompt meanwhile and of one that always does: a step of the batch, and a
-step with a chunk of a prompt, by the users' sheets."""
+"""Initial seconds for an output token on an engine that prefills nothing
+meanwhile, and on one that always does: a step of the batch, and a step with a
+chunk of a prompt, by the users' sheets."""
 
 TOKEN_SECONDS_RANGE = (0.001, 0.3)
-"""Bounds of an observed time of an output token. Callers ask for more
-tokens than come, so it may lie below the time of one step."""
+"""Bounds of an observed time of an output token in seconds. Callers ask for
+more tokens than are produced, so it may lie below the time of one step."""
 
 LEARNING_RATE = 0.05
-"""Weight of one observation; the number of tokens is a caller's estimate
-that may be off by half, so some dozen have to agree."""
+"""Weight of one observation. The number of tokens is a caller's estimate that
+may be wrong by half, so some dozen observations have to agree."""
 
 DUTY_CYCLE_SECONDS = 3.0
-"""Seconds over which the part of the time with reading is averaged: about
-the length of a stream."""
+"""Seconds over which the fraction of time in prefill is averaged, which is
+about the length of a stream."""
 
 
 @dataclass(slots=True, eq=False)
 class DecodeTimes:
     """Seconds for an output token, for one service.
 
-    Each step of an engine makes one token of every running request, and a
-    step in which a chunk of a prompt is read takes six times as long. So
-    the time grows with the part of the time in which the engine reads.
+    Each step of an engine produces one token of every running request, and a
+    step in which a chunk of a prompt is prefilled takes six times as long. So
+    the time for a token grows with the fraction of time in prefill.
 
     Attributes:
-        idle: Seconds for a token of an engine that reads nothing.
-        busy: Seconds for a token of one that always reads.
+        idle: Seconds for a token on an engine that prefills nothing.
+        busy: Seconds for a token on an engine that always prefills.
     """
 
     idle: float = INITIAL_IDLE_TOKEN_SECONDS
     busy: float = INITIAL_BUSY_TOKEN_SECONDS
 
     def seconds(self, duty):
-        """Return the seconds for a token at a part *duty* of reading."""
+        """Return the seconds for a token at a fraction *duty* of prefill."""
         return self.idle + (self.busy - self.idle) * duty
 
     def learn(self, duty, observed):
-        """Learn from a request that took *met* seconds for each token."""
+        """Learn from a request that took *observed* seconds for each token."""
         low, high = TOKEN_SECONDS_RANGE
         error = min(high, max(low, observed)) - self.seconds(duty)
         self.idle = max(low, self.idle + LEARNING_RATE * (1.0 - duty) * error)
@@ -55,16 +55,16 @@
 
 
 MAX_OVERTAKING_FRACTION = 0.6
-"""Largest part of the time that more urgent prompts are taken to need in
-what is to come; beyond it a less urgent one is refused in any case."""
+"""Maximum fraction of time that more urgent prompts are assumed to need in the
+future. Beyond it a less urgent prompt is refused in any case."""
 
 
 @dataclass(slots=True, eq=False)
 class RankUtilization:
-    """The parts of an engine's time that prompts of each rank have taken.
+    """Fractions of an engine's time used by the prompts of each rank.
 
     Attributes:
-        recent: The part by rank.
+        recent: The fraction by rank.
         at: Time of the last change.
     """
 
@@ -72,18 +72,18 @@
     at: float = 0.0
 
     def note(self, rank, seconds, now):
-        """Note that a prompt of *rank* was read in *seconds*."""
+        """Record that a prompt of *rank* was prefilled in *seconds*."""
         kept = math.exp(-max(0.0, now - self.at) / DUTY_CYCLE_SECONDS)
         self.recent = [part * kept for part in self.recent]
         self.recent[rank] += seconds / DUTY_CYCLE_SECONDS
         self.at = now
 
     def slowdown(self, rank, now):
-        """Return by what a wait grows as more urgent prompts come.
+        """Return the factor by which more urgent prompts extend a wait.
 
-        Who waits is overtaken by those that come later and are more
-        urgent; without that, prompts of the lowest rank are begun late
-        although predicted in time.
+        A waiting prompt is overtaken by more urgent ones that arrive later.
+        Without this factor, prompts of the lowest rank start late although
+        they were predicted to be on time.
         """
         kept = math.exp(-max(0.0, now - self.at) / DUTY_CYCLE_SECONDS)
         taken = sum(self.recent[:rank]) * kept
@@ -92,13 +92,13 @@
 
 @dataclass(slots=True, eq=False)
 class DutyCycle:
-    """The part of its time in which one engine reads prompts.
+    """Fraction of its time in which one engine prefills prompts.
 
     Attributes:
-        reading: Whether it reads now.
-        since: Time up to which the rest is counted.
-        recent: The part over the last seconds.
-        total: Seconds of reading in all.
+        prefilling: Whether it prefills now.
+        since: Time up to which the other values are updated.
+        recent: The fraction over the last seconds.
+        total: Total seconds of prefill.
     """
 
     prefilling: bool = False
@@ -107,12 +107,12 @@
     total: float = 0.0
 
     def note(self, prefilling, now):
-        """Note whether the engine reads from now on."""
+        """Record whether the engine prefills from now on."""
         self.advance(now)
         self.prefilling = prefilling
 
     def advance(self, now):
-        """Count the time up to now."""
+        """Update the values up to *now*."""
         passed = max(0.0, now - self.since)
         kept = math.exp(-passed / DUTY_CYCLE_SECONDS)
         self.recent = self.recent * kept + (1.0 - kept) * self.prefilling
@@ -120,11 +120,11 @@
         self.since = max(now, self.since)
 
     def expected(self, backlog, seconds):
-        """Return the part expected in the next *seconds*.
+        """Return the fraction expected in the next *seconds*.
 
         Args:
-            backlog: Seconds of reading that wait already.
-            seconds: Length of the time that is asked for.
+            backlog: Seconds of prefill that already wait.
+            seconds: Length of the time span.
         """
         sure = min(1.0, backlog / max(seconds, 1e-3))
         return sure + (1.0 - sure) * self.recent
--- a/src/hyssopspring/traffic/enginework.py
+++ b/src/hyssopspring/traffic/enginework.py
@@ -1,4 +1,4 @@
-"""The model of a model server: what it reads next, and what it keeps."""
+"""The model of an inference engine: its prefill queue and its cache."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -26,77 +26,81 @@
 __all__ = ["EngineWork"]
 
 MIN_REMAINING_SECONDS = 0.08
-"""Seconds that a request needs still when it is past its expected end."""
+"""Seconds that a request is assumed to need after its expected end has
+passed."""
 
 USABLE_MEMORY_FRACTION = 0.93
-"""Part of an engine's memory that is filled; requests grow while they
-run, and an engine whose memory runs out drops requests midway."""
+"""Fraction of an engine's memory that is filled. Requests grow while they run,
+and an engine that runs out of memory preempts requests midway."""
 
 LEARNING_RATE = 0.12
 """Weight of one observation in moving averages."""
 
 PREFILL_SLOWDOWN_RANGE = (0.5, 8.0)
-"""Bounds of `prefill_slowdown`; slower servers than eightfold are passed over
-anyway."""
+"""Bounds of `prefill_slowdown`. Servers that are slower than eightfold are not
+chosen in any case."""
 
 PREFILL_SLOWDOWN_DECAY_SECONDS = 8.0
-"""Seconds in which a pace returns to normal without new evidence, so that
-a server that was slow once gets work again."""
+"""Seconds in which a prefill slowdown returns to normal without new evidence,
+so that a server that was slow once gets requests again."""
 
 MIN_LEARNED_PREFILL_SECONDS = 0.04
-"""Seconds of expected reading from which a first event tells of pace."""
+"""Minimum expected prefill time in seconds of a prompt whose first event is
+used to learn the slowdown."""
 
 STEP_SECONDS = 0.04
-"""Seconds of a step with a chunk of a prompt. Which of the prompts that
-come within one step is read first, cannot be told."""
+"""Seconds of an engine step with a chunk of a prompt. The order in which
+prompts that arrive within one step are prefilled cannot be predicted."""
 
 OVERDUE_FRACTION = 0.5
-"""Part of the time by which the prompt that is read now is overdue that
-it is taken to need still: an engine that stalls shows no other sign."""
+"""Fraction of its overdue time that the prompt in prefill is assumed to need
+still. An engine that stalls gives no other sign."""
 
 DECODE_SLOWDOWN_RANGE = (0.5, 8.0)
-"""Bounds of `decode_slowdown`, as those of `prefill_slowdown`."""
+"""Bounds of `decode_slowdown`, the same as for `prefill_slowdown`."""
 
 MIN_COPIED_TOKENS = 1024
-"""Tokens below which nothing is copied from another server: one chunk,
-which is read in 30 ms."""
+"""Minimum number of tokens that are copied from another server: one chunk,
+which is prefilled in 30 ms."""
 
 COPY_SETUP_SECONDS = 0.02
-"""Seconds in which a copy begins, and waits for others at the same link;
-6,300 tokens of 160 KB each take 15 ms more at 550 Gbit/s."""
+"""Seconds in which a copy starts and waits for others on the same link. 6,300
+tokens of 160 KB each take 15 ms more at 550 Gbit/s."""
 
 
 @dataclass(slots=True, eq=False)
 class EngineWork:
-    """Work in progress at a model server, and what it has cached.
+    """Work in progress at an inference engine, and its cached parts.
 
-    An engine reads one prompt after another between the decoding steps
-    of its batch. It takes the most urgent one that waits, the oldest of
-    these, and reads it to its end; one that comes meanwhile waits, however
-    urgent. So the time to a first event is the rest of the prompt that is
-    read now, the reading of all that are as urgent, and then of the
-    prompt's own parts that are not cached. Met less predicted times of
-    5,288 prompts: 9 in 10 below 0.12 s, against 0.26 s if all that are
-    less urgent are taken to stand back at once.
+    An engine prefills one prompt after another between the decoding steps of
+    its batch. It takes the most urgent waiting prompt, the oldest one among
+    equals, and prefills it to its end. A prompt that arrives meanwhile waits,
+    however urgent it is. So the time to a first event is the rest of the
+    prompt in prefill, the prefill of all prompts that are at least as urgent,
+    and then of the prompt's own parts that are not cached. For 5,288 prompts,
+    9 in 10 differences of the observed from the predicted time are below 0.12
+    s, against 0.26 s if all less urgent prompts are assumed to yield at once.
 
     Attributes:
         spec: The `EngineSpec`.
         prefill_times: `PrefillTimes` of the service.
         decode_times: `DecodeTimes` of the service.
-        disabled: Each `Mechanism` that is switched off.
-        tickets: `Placement` by host and number.
-        queue: `PrefillQueue` of those whose prompts are to be read.
-        held: Tokens of memory that all take.
+        disabled: Each `Mechanism` that is disabled.
+        placements: `Placement` by host and number.
+        queue: `PrefillQueue` of the prompts that wait for their prefill.
+        held_tokens: Tokens of memory that all placements take.
         cached: Tokens by part, the least recently used first.
-        cached_tokens: Their sum.
-        crowding_cost: Seconds of `occupancy_cost` for its load.
-        pace: Observed time of reading over the predicted one.
-        paced_at: Time of the last observation.
-        head: `Placement` whose prompt is read now, or `NOTHING`.
-        head_since: Time since when it is read.
-        duty: `DutyCycle` of its reading.
-        shares: `RankUtilization` of its reading.
-        drag: Observed time of an output token over the expected one.
+        cached_tokens: Sum of the cached tokens.
+        crowding_cost: Seconds that the load adds to the cost, see
+            `occupancy_cost`.
+        prefill_slowdown: Observed prefill time over the predicted one.
+        prefill_slowdown_at: Time of the last observation.
+        active_prefill: `Placement` whose prompt is in prefill, or `NOTHING`.
+        active_prefill_since: Time at which that prefill started.
+        duty: `DutyCycle` of its prefill.
+        rank_utilization: `RankUtilization` of its prefill.
+        decode_slowdown: Observed time of an output token over the expected
+            one.
     """
 
     spec: EngineSpec
@@ -119,20 +123,20 @@
 
     @property
     def slots(self):
-        """Requests that run at once."""
+        """Maximum number of concurrent requests."""
         return max(1, self.spec.slots)
 
     @property
     def memory(self):
-        """Tokens that running requests and cached parts share."""
+        """Tokens of memory, shared by running requests and cached parts."""
         return max(1, self.spec.memory_tokens)
 
     def is_for(self, engine):
-        """Whether the model fits a service with this `EngineSpec`."""
+        """Return whether the model fits a service with this `EngineSpec`."""
         return self.spec is engine or self.spec == engine
 
     def cached_prefix_tokens(self, demand):
-        """Return the tokens of the prompt that are cached here."""
+        """Return the tokens of the prompt's prefix that are cached here."""
         known = 0
         for part, tokens in demand.parts:
             if part not in self.cached:
@@ -145,25 +149,25 @@
 
         Args:
             demand: The `Demand`.
-            most_cached: Tokens of the prompt that the other has cached.
+            most_cached: Tokens of the prompt that the other server has cached.
         """
         return self.worth_copying(
             most_cached - self.cached_prefix_tokens(demand)
         )
 
     def worth_copying(self, more):
-        """Return *more* tokens if it pays to copy so many, or 0."""
+        """Return *more* tokens if a copy of them pays off, or 0."""
         if not self.spec.copy_seconds or more < MIN_COPIED_TOKENS:
             return 0
         return more
 
     def uncached_tokens(self, demand, copied=0):
-        """Return the tokens of the prompt that must be read here."""
+        """Return the tokens of the prompt that must be prefilled here."""
         known = self.cached_prefix_tokens(demand) + copied
         return max(1, demand.tokens_in - known)
 
     def current_prefill_slowdown(self, now):
-        """Return the pace, which fades to normal without evidence."""
+        """Return the slowdown, which decays to normal without evidence."""
         age = now - self.prefill_slowdown_at
         if age >= PREFILL_SLOWDOWN_DECAY_SECONDS:
             return 1.0
@@ -171,7 +175,7 @@
         return 1.0 + (self.prefill_slowdown - 1.0) * kept
 
     def prefill_wait(self, urgency, now):
-        """Return the seconds of reading before a request of *urgency*."""
+        """Return the seconds of prefill before a request of *urgency*."""
         active_prefill = self.active_prefill
         if active_prefill is NOTHING:
             return 0.0
@@ -189,7 +193,7 @@
         return wait * self.rank_utilization.slowdown(rank_of(urgency), now)
 
     def active_prefill_left(self, now):
-        """Return the seconds for which the prompt at the head is read."""
+        """Return the remaining seconds of the prompt in prefill."""
         passed = now - self.active_prefill_since
         left = (
             self.active_prefill.prefill_seconds
@@ -201,10 +205,10 @@
     def slot_wait(self, tokens, now):
         """Return the seconds until a slot and memory are free.
 
-        When memory runs out an engine drops the newest of its requests
-        in the middle of their streams and reads them in again: callers
-        see streams stand still. So a request waits for the ends of as
-        many others as its slot and its memory need.
+        An engine that runs out of memory preempts its newest requests in the
+        middle of their streams and prefills them again, and callers see their
+        streams stall. So a request waits until as many others have ended as
+        its slot and its memory need.
         """
         slots = len(self.placements) + 1 - self.slots
         memory = (
@@ -229,18 +233,18 @@
         return seconds
 
     def idle_seconds(self, demand, uncached):
-        """Return the seconds to a first event of an engine that is idle.
+        """Return the seconds to a first event on an idle engine.
 
         Args:
             demand: The `Demand`.
-            uncached: Tokens of the prompt that it must read.
+            uncached: Tokens of the prompt that it must prefill.
         """
         return self.prefill_times.seconds(
             uncached, attention_pairs(demand.tokens_in, uncached)
         )
 
     def predict(self, demand, urgency, now, copied=0):
-        """Return the seconds until the first event would come.
+        """Return the predicted seconds until the first event.
 
         Args:
             demand: The `Demand`.
@@ -252,12 +256,12 @@
         return self.wait(demand, urgency, now) + self.copy_time(copied) + own
 
     def wait(self, demand, urgency, now):
-        """Return the seconds until the engine begins with a request."""
+        """Return the seconds until the engine starts a request."""
         tokens = demand.tokens_in + demand.tokens_out
         return self.prefill_wait(urgency, now) + self.slot_wait(tokens, now)
 
     def own_prefill(self, demand, now, copied):
-        """Return the seconds of reading that a request would bring."""
+        """Return the seconds of prefill that a request would add."""
         uncached = self.uncached_tokens(demand, copied)
         return self.idle_seconds(
             demand, uncached
@@ -270,19 +274,19 @@
         return COPY_SETUP_SECONDS + copied * self.spec.copy_seconds
 
     def cost(self, demand, urgency, now, copied=0):
-        """Return the seconds that count in a comparison of servers."""
+        """Return the cost in seconds for the comparison of servers."""
         own = self.own_prefill(demand, now, copied)
         wait = self.wait(demand, urgency, now)
         predicted = wait + self.copy_time(copied) + own
         return self.cost_of(demand, now, own, predicted)
 
     def cost_of(self, demand, now, own, predicted):
-        """Return the cost of a request of which more is known.
+        """Return the cost of a request whose prediction is given.
 
         Args:
             demand: The `Demand`.
             now: The time.
-            own: Seconds of reading that it brings.
+            own: Seconds of prefill that it adds.
             predicted: Seconds until its first event.
         """
         cost = predicted + own * PREFILL_COST_FACTOR + self.crowding_cost
@@ -295,16 +299,16 @@
         )
 
     def assess(self, inquiry, known, limit):
-        """Return what the engine would do for a request.
+        """Return the estimate of the engine for a request.
 
-        The same as `cost` and `predict`, each part worked out once and
-        only as far as the engine may still be the best: among 35 engines
-        a choice takes a third of the time that it took by those.
+        The result equals that of `cost` and `predict`. Each part is computed
+        once, and only while the engine may still be the best one: among 35
+        engines this takes a third of the time of calling those two methods.
 
         Args:
             inquiry: The `EstimateRequest`.
             known: Tokens of the prompt that are cached here.
-            limit: Cost from which on the engine is of no interest.
+            limit: Cost from which on the engine is not considered.
 
         Returns:
             An `Estimate`, or `NOTHING` if its cost exceeds *limit*.
@@ -331,18 +335,20 @@
         return Estimate(predicted, cost, copied)
 
     def token_time(self, now, backlog=0.0):
-        """Return the seconds for an output token in the next seconds.
+        """Return the predicted seconds for an output token.
+
+        The prediction holds for the next `DUTY_CYCLE_SECONDS`.
 
         Args:
             now: The time.
-            backlog: Seconds of reading that wait already.
+            backlog: Seconds of prefill that already wait.
         """
         self.duty.advance(now)
         duty = self.duty.expected(backlog, DUTY_CYCLE_SECONDS)
         return self.decode_times.seconds(duty) * self.decode_slowdown
 
     def begin(self, placement, demand):
-        """Count a placed request; its parts will be cached."""
+        """Add the placement of a request, whose parts will be cached."""
         pairs = attention_pairs(placement.tokens_in, placement.uncached_tokens)
         placement.prefill_seconds = self.prefill_times.seconds(
             placement.uncached_tokens, pairs
@@ -368,13 +374,13 @@
         self.trim()
 
     def prefills_alone(self, placement, demand):
-        """Whether the server copies nothing before it reads a prompt."""
+        """Return whether the server copies nothing before the prefill."""
         if demand is NOTHING:
             return False
         return placement.uncached_tokens == self.uncached_tokens(demand)
 
     def trim(self):
-        """Forget the parts that the engine has dropped by now."""
+        """Remove the parts that the engine has evicted by now."""
         room = max(0, self.memory - self.held_tokens)
         while self.cached and self.cached_tokens > room:
             self.cached_tokens -= self.cached.popitem(last=False)[1]
@@ -402,11 +408,12 @@
         self.learn_prefill_slowdown(placement.prefill_seconds, read, now)
 
     def mark_started(self, placement, now):
-        """Note that a prompt is read, and which one is read next.
+        """Record the end of a prefill, and choose the next prompt.
 
-        A prompt that came after the one at the head and began before it
-        shows that the latter was read: its answer is lost. It would else
-        stand before all others until its caller leaves.
+        If a prompt that arrived after the one in prefill starts before it, the
+        latter must have been prefilled and its answer was lost. If it were
+        kept, it would block all others in the model until its caller
+        disconnects.
         """
         active_prefill, since = self.active_prefill, self.active_prefill_since
         self.queue.remove(placement)
@@ -425,13 +432,13 @@
         self.start_next_prefill(now)
 
     def start_next_prefill(self, now):
-        """Choose the prompt that the engine reads from now on."""
+        """Choose the prompt that the engine prefills from now on."""
         self.active_prefill = self.queue.first()
         self.active_prefill_since = now
         self.duty.note(self.active_prefill is not NOTHING, now)
 
     def learn_prefill_slowdown(self, expected, observed, now):
-        """Learn from a prompt that was read in *met* seconds."""
+        """Learn from a prompt that was prefilled in *observed* seconds."""
         if expected < MIN_LEARNED_PREFILL_SECONDS:
             return
         low, high = PREFILL_SLOWDOWN_RANGE
@@ -443,12 +450,12 @@
         self.prefill_slowdown_at = now
 
     def end(self, placement, now, *, whole=False):
-        """Count the end of a request, and learn from a whole one.
+        """Remove a placement, and learn from a complete answer.
 
         Args:
             placement: The `Placement`.
             now: The time.
-            whole: Whether its answer has come to its end.
+            whole: Whether its answer is complete.
         """
         known = self.placements.pop((placement.host, placement.number), None)
         if known is not None:
@@ -462,7 +469,7 @@
         self.learn_token(placement, now)
 
     def learn_token(self, placement, now):
-        """Learn the time of a token from an answer that is whole."""
+        """Learn the time of an output token from a complete answer."""
         seconds = now - placement.started_at
         if seconds <= 0:
             return
@@ -490,7 +497,10 @@
         )
 
     def occupancy(self):
-        """Return the part of the slots, or of the memory, that is taken."""
+        """Return the used fraction of the slots or of the memory.
+
+        The larger one of the two counts.
+        """
         memory = self.held_tokens / (self.memory * USABLE_MEMORY_FRACTION)
         return max(len(self.placements) / self.slots, memory)
 
@@ -500,7 +510,7 @@
 
     Args:
         placement: Its `Placement`.
-        token_seconds: Seconds that its server needs for a token.
+        token_seconds: Seconds that its server needs for an output token.
         now: The time.
     """
     whole = placement.tokens_out * token_seconds
--- a/src/hyssopspring/traffic/mechanisms.py
+++ b/src/hyssopspring/traffic/mechanisms.py
@@ -1,4 +1,4 @@
-"""Parts of the policy that can be switched off to measure their worth."""
+"""Mechanisms of the policy that can be disabled for ablation tests."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Mechanism(enum.Enum):
-    """A part of the policy, and what happens without it."""
+    """A mechanism of the policy, and the behaviour without it."""
 
     HEAD = "a prompt that is read now is taken to stand back for urgent ones"
     FIGURES = "the time of reading stays at the first figures"
@@ -23,23 +23,25 @@
 
     @property
     def label(self):
-        """Name in settings and on the time line."""
+        """Its name in settings and in the event log."""
         return self.name.lower()
 
 
 def parse_disabled(text):
-    """Return the mechanisms that a setting switches off.
+    """Return the mechanisms that a setting disables.
 
     Args:
         text: Their labels, separated by commas; may be empty.
 
     Raises:
-        SettingsError: One of them is no mechanism.
+        SettingsError: A label is not that of a mechanism.
     """
     known = {mechanism.label: mechanism for mechanism in Mechanism}
     labels = [label.strip() for label in text.split(",") if label.strip()]
     for label in labels:
         if label not in known:
             names = ", ".join(sorted(known))
-            raise SettingsError(f"no mechanism {label!r}; there are {names}")
+            raise SettingsError(
+                f"unknown mechanism {label!r}; known mechanisms: {names}"
+            )
     return frozenset(known[label] for label in labels)
--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -1,4 +1,4 @@
-"""Place requests: at a server, in another region, or refuse them."""
+"""Place requests on a server, place them in another region, or refuse them."""
 
 from dataclasses import dataclass, replace
 
@@ -24,62 +24,68 @@
 __all__ = ["Placer"]
 
 RETRY_TARGET_FRACTION = 0.6
-"""Part of the time to the objective within which a refused caller should
-be served when it comes back."""
+"""Fraction of the time to the objective within which a refused caller should
+be served when it retries."""
 
 REMOTE_TARGET_FRACTION = 0.85
-"""Part of the time to the objective within which another region must
-answer to be chosen; its load is known with a lag."""
+"""Fraction of the time to the objective within which another region must
+answer to be chosen. It is below 1 because the load of that region is received
+with a lag."""
 
 LATE_URGENCY = 8
-"""Urgency of requests that will miss their objective anyway: they run in
-the gaps and delay nobody who can still be on time."""
+"""Urgency of requests that are predicted to miss their objective. They run
+when nothing more urgent waits, so they delay no request that can still be on
+time."""
 
 MAX_LATE_PER_SERVER = 2
-"""Late requests that may wait at one server at a time."""
+"""Maximum number of late requests that wait at one server."""
 
 RETRY_JITTER_FRACTION = 0.5
-"""Part of a Retry-After by which callers are spread, so that those who are
-refused together do not return together."""
+"""Fraction of a Retry-After that is added at random, so that callers that are
+refused together do not retry together."""
 
 NO_SERVER_WAIT_SECONDS = 1.0
-"""Seconds that a request is taken to wait where no server is open; one
-that is paused or cold is tried again within that time."""
+"""Predicted wait of a request in seconds when no server is open. A server that
+is paused or cold is tried again within that time."""
 
 MIN_RETRY_SECONDS = 0.25
 MAX_RETRY_SECONDS = 3.0
-"""Bounds of a Retry-After in seconds. Sooner, the load that led to the
-refusal has not changed; later, little is left of the caller's time."""
+"""Bounds of a Retry-After in seconds. With a shorter one, the load that caused
+the refusal has not changed; with a longer one, little is left of the caller's
+time."""
 
 ERROR_COST_SECONDS = 0.6
-"""Seconds by which a server that always fails counts as worse: about an
-objective, so that it still gets what no other could begin in time."""
+"""Seconds that are added to the cost of a server whose requests all fail. This
+is about one objective, so the server still gets requests that no other server
+could start in time."""
 
 MAX_REPORTED_SERVERS = 24
-"""Servers of a service whose room is told to other regions, the best ones;
-a peak of one region is spread over no more between two reports."""
+"""Maximum number of servers of a service whose capacity is reported to other
+regions, the best ones first. A load peak of one region is not spread over more
+servers between two reports."""
 
 STARTUP_CAUTION_SECONDS = 5.0
-"""Seconds after the start of a host in which it takes servers gently of
-which it has heard no answer. All hosts may have started together, so that
-nobody knows which servers are in need."""
+"""Seconds after the start of a host in which it limits the requests to servers
+from which it has received no answer. All hosts may have started together, so
+that no host has information on which servers are overloaded."""
 
 MAX_UNANSWERED_REQUESTS = 4
-"""Requests that such a server gets before its first answer."""
+"""Maximum number of waiting requests at such a server before its first
+answer."""
 
 MAX_PLACEMENT_AGE_SECONDS = 40.0
-"""Seconds after which a placed request whose end was not heard of is
-dropped; routes time out well before."""
+"""Seconds after which a placement is removed if no message has reported its
+end. The timeouts of routes are well below this."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerView:
-    """All that is known here of one server.
+    """The state of one server as this host sees it.
 
     Attributes:
         server: The `Server`.
-        work: The model of its work.
-        evidence: The `Evidence` on it.
+        work: The model of its work in progress.
+        evidence: The `Evidence` on its health.
     """
 
     server: object
@@ -89,10 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CachedViews:
-    """The servers of one service in this region.
+    """The cached views of the servers of one service in this region.
 
     Attributes:
-        servers: Each `Server`, as the registry gives them.
+        servers: Each `Server`, as returned by the registry.
         service: The `Service`.
         views: `ServerView` of each.
     """
@@ -105,23 +111,24 @@
 class Placer:
     """Place the requests of one region.
 
-    Each host has one. The hosts of a region ask the same one of theirs,
-    which so knows all work in progress; what the others know serves to
-    take over when it is gone.
+    Each host has a placer. All hosts of a region send their queries to the
+    placer of the same host, so that this one sees all work in progress. The
+    other placers track the placements too, in order to take over when that
+    host fails.
 
     Args:
         region: The region.
         registry: The `Registry`.
         service_of: Called with a name; returns the `Service`.
-        cold_bound: Called with a `Service`; returns the requests that
-            its cold servers stand in a second.
+        cold_bound: Called with a `Service`; returns the requests a second that
+            its cold servers can handle.
         rng: Random number generator.
-        live_regions: Called with the time; returns the regions in which
-            hosts live.
-        limits: The `ServerLimits`; left out, this host counts for its
-            whole region.
+        live_regions: Called with the time; returns the regions that have live
+            hosts.
+        limits: The `ServerLimits`. If left out, this host counts for its whole
+            region.
         started_at: Time at which this host started, or `NOTHING`.
-        disabled: Each `Mechanism` that is switched off.
+        disabled: Each `Mechanism` that is disabled.
     """
 
     def __init__(
@@ -171,7 +178,7 @@
         Args:
             query: The `PlacementQuery`.
             now: The time.
-            cold_allowed: Whether this host may count for cold servers.
+            cold_allowed: Whether this host may place requests on cold servers.
 
         Returns:
             `Placed`, `PlacedRemotely` or `Refused`.
@@ -185,7 +192,8 @@
         local = self.best_candidate(servers, query, urgency, now)
         in_time = local.predicted + self.margin(query) <= query.time_left
         if in_time and local.cost <= INTER_REGION_SECONDS:
-            # No other region can be better: the way alone costs more.
+            # No other region can be better: the round trip alone costs
+            # more.
             return self.admit(query, local, urgency, now)
         remote = self.remote_regions.best(
             query, now, local.cost if in_time else UNBOUNDED
@@ -201,12 +209,13 @@
         return self.place_late(servers, query, now)
 
     def isolated(self, views, fingerprint):
-        """Return the servers at which no other suspected request is.
+        """Return the servers on which no other suspected request runs.
 
-        Two servers have ended as this one was about to begin. Beside
-        another suspected one, the next end would not show which of them
-        was the cause; and while it is at a server itself, a second server
-        would end for nothing.
+        Two servers have crashed while this request was about to start. If it
+        ran beside another suspected request, the next crash would not show
+        which of the two caused it. While the same request already runs on a
+        server, no server is returned, since a second server could crash
+        without any gain.
         """
         at = {
             placement.server_id: placement.apart
@@ -218,26 +227,27 @@
         return [view for view in views if view.server.entry.id not in at]
 
     def margin(self, query):
-        """Return the seconds by which a prediction must be in time."""
+        """Return the seconds by which a prediction must be early."""
         if Mechanism.MARGIN in self.disabled:
             return 0.0
         return self.margin_of(query.service).seconds
 
     def rotated(self, views):
-        """Return servers in an order that begins anywhere.
+        """Return the servers in an order with a random start.
 
-        Hosts that only stand in know little of the load. To each the same
-        server looks best, the first of equal ones; when a placing host
-        could not keep up, all others sent it their requests.
+        Substitute hosts have little information on the load. To each of them
+        the same server looks best, the first of equal ones. Without the
+        rotation, all substitute hosts sent their requests to one server when
+        the placing host could not keep up.
         """
         first = self.rng.randrange(len(views)) if views else 0
         return views[first:] + views[:first]
 
     def place_resumed(self, query, local, remote, now):
-        """Place a stream that has begun where it goes on first.
+        """Place a stream that has begun on the first server to resume it.
 
-        Its caller holds a part of the answer. A refusal would cut it, and
-        all that was made of it would be lost; the caller still takes an
+        The caller holds a part of the answer. A refusal would abort the stream
+        and waste the part already produced, while the caller still accepts an
         event that comes late.
         """
         if min(local.predicted, remote.predicted) > query.patience:
@@ -250,8 +260,9 @@
     def best_candidate(self, views, query, urgency, now):
         """Return the `Candidate` of the best server.
 
-        The one that has cached most of the prompt is looked at first; it
-        is most often the best, and spares most of the work on the others.
+        The server that has cached the most of the prompt is evaluated first.
+        It usually is the best one, and its cost lets most of the work on the
+        other servers be skipped.
 
         Args:
             views: `ServerView` of each server that may get the request.
@@ -288,7 +299,7 @@
         return best
 
     def eligible_servers(self, query, now, cold_allowed):
-        """Return the `ServerView` of each server eligible for the request."""
+        """Return the `ServerView` of each server that may get it now."""
         if query.regions and self.region not in query.regions:
             return []
         return [
@@ -310,7 +321,8 @@
     def views_of(self, name, now):
         """Return the `ServerView` of each server of a service in this region.
 
-        They are kept until servers come or go, or the service changes.
+        The views are cached until servers are added or removed, or the service
+        changes.
         """
         servers = self.registry.candidates(name, self.region, now)
         service = self.service_of(name)
@@ -332,7 +344,7 @@
         return kept.views
 
     def cold_share_used(self, server, now, cold_allowed):
-        """Whether the server is cold and has got its share already."""
+        """Return whether the server is cold and at its request limit."""
         if server.usability(now) is not Usability.COLD:
             return False
         service = self.service_of(server.entry.service)
@@ -344,9 +356,10 @@
         return not self.cold_rates.is_allowed(server.entry.id, bound, now)
 
     def should_place_remotely(self, query, remote, local):
-        """Whether another region serves the request better.
+        """Return whether another region should serve the request.
 
-        It must meet the objective there, or have no server here at all.
+        That region must answer within the objective, unless no server of this
+        region can take the request.
         """
         if remote is NO_CANDIDATE or remote.predicted > query.patience:
             return False
@@ -357,12 +370,13 @@
         return remote.predicted <= query.time_left * REMOTE_TARGET_FRACTION
 
     def place_late(self, servers, query, now):
-        """Admit a request that will be late behind all others, or refuse.
+        """Admit a request that will be late behind all others, or refuse it.
 
-        Refused requests go at once: their callers may come back when
-        there is room, and the engine's time goes to those on time. Late
-        ones stay in their region: sent to others, they fill the servers
-        that could still serve bound requests on time.
+        Requests are refused at once, because their callers may retry when
+        there is capacity and because the time of the engine should go to
+        requests that are on time. Late requests stay in their region: in other
+        regions they would fill servers that could still serve region-bound
+        requests on time.
         """
         local = self.best_candidate(servers, query, LATE_URGENCY, now)
         if local is NO_CANDIDATE:
@@ -374,7 +388,7 @@
         return self.refuse(query, local.predicted, len(servers))
 
     def late_limit_reached(self, server):
-        """Whether enough late requests wait at a server already."""
+        """Return whether the maximum of late requests waits at a server."""
         if Mechanism.LATE in self.disabled:
             return True
         late = sum(
@@ -384,7 +398,7 @@
         return late >= MAX_LATE_PER_SERVER
 
     def refuse_unavailable(self, query, now):
-        """Return a `Refused` that says when a server takes requests again."""
+        """Return a `Refused` with the time until a server accepts requests."""
         held = self.blocked_by_limits(query, now)
         if not held:
             refused = self.refuse(query, NO_SERVER_WAIT_SECONDS, 0)
@@ -399,7 +413,7 @@
         return Refused(max(MIN_RETRY_SECONDS, seconds), seconds, 0, evidence)
 
     def blocked_by_limits(self, query, now):
-        """Return the servers that could be used but for their limits."""
+        """Return the servers that are unavailable only due to their limits."""
         if not self.limits.named:
             return []
         if query.regions and self.region not in query.regions:
@@ -413,7 +427,7 @@
         ]
 
     def refuse(self, query, predicted, servers):
-        """Return a `Refused` that says when there should be room."""
+        """Return a `Refused` with the time until capacity is expected."""
         over = max(
             MIN_RETRY_SECONDS,
             predicted - query.time_left * RETRY_TARGET_FRACTION,
@@ -423,7 +437,7 @@
         return Refused(seconds * spread, predicted, servers)
 
     def admit(self, query, candidate, urgency, now):
-        """Count the request at the server of *offer*; return `Placed`."""
+        """Record the request at the server of *candidate*; return `Placed`."""
         server = candidate.target
         entry = server.entry
         work = self.work_of(server)
@@ -462,7 +476,7 @@
         )
 
     def note_start(self, host, number, seconds, now):
-        """Take account of a first event or the head of an answer."""
+        """Record a first event or the response head of an attempt."""
         placement = self.placements.get((host, number))
         if placement is None or placement.started:
             return
@@ -476,10 +490,10 @@
             self.evidence_of(placement.server_id).note_answer(now)
 
     def note_end(self, host, number, server_id, finding, now):
-        """Take account of the end of an attempt.
+        """Record the end of an attempt.
 
         Returns:
-            Whether its server is now newly suspected.
+            Whether its server has become suspect through this attempt.
         """
         placed_here = self.drop(
             host, number, now, whole=finding is Finding.ANSWERED
@@ -491,16 +505,16 @@
         return self.evidence_of(server_id).note(finding, now)
 
     def drop(self, host, number, now, *, whole=False):
-        """Forget one placed request.
+        """Remove one placement.
 
         Args:
-            host: Host that carries it out.
+            host: Host that runs the request.
             number: Its number.
             now: The time.
-            whole: Whether its answer has come to its end.
+            whole: Whether its answer is complete.
 
         Returns:
-            Whether it was known.
+            Whether the placement existed.
         """
         placement = self.placements.pop((host, number), None)
         if placement is None:
@@ -512,21 +526,21 @@
         return True
 
     def add_placement(self, placement):
-        """Remember a placed request."""
+        """Store the placement of a request."""
         self.placements[placement.host, placement.number] = placement
         self.by_host.setdefault(placement.host, {})[placement.number] = (
             placement
         )
 
     def placements_of_host(self, host):
-        """Return the tickets of *host* by number."""
+        """Return the placements of *host* by number."""
         return self.by_host.get(host, {})
 
     def retain_placements(self, host, numbers, now, *, older_than):
-        """Forget the requests of *host* that it says have ended.
+        """Remove the placements of *host* that it reports as ended.
 
-        The word of an end may be lost on its way; the server would seem
-        loaded until the host is heard to carry it no longer.
+        The message that reports an end may be lost. The server would then seem
+        loaded until the host no longer lists the request.
         """
         stale = [
             number
@@ -537,7 +551,7 @@
             self.drop(host, number, now)
 
     def adopt(self, placement, now):
-        """Take over a request that another host has placed."""
+        """Store a placement that another host has made."""
         key = placement.host, placement.number
         known = self.placements.get(key)
         if known is not None:
@@ -553,15 +567,16 @@
         self.work_of(server).begin(placement, NOTHING)
 
     def forget_host(self, host, now):
-        """Forget all requests of a host that is gone."""
+        """Remove all placements of a host that is gone."""
         for number in list(self.placements_of_host(host)):
             self.drop(host, number, now)
 
     def forget_server(self, server_id, now):
-        """Forget all about a server that is gone or has started anew.
+        """Remove all state of a server that is gone or has restarted.
 
-        A server that starts again under its identifier has lost its work
-        and what it had cached, and is cold whatever it got before.
+        A server that restarts under the same identifier has lost its work and
+        its cache, and it is cold regardless of the requests that it got
+        before.
         """
         for key, placement in list(self.placements.items()):
             if placement.server_id == server_id:
@@ -573,7 +588,7 @@
         self.limits.forget(server_id)
 
     def sweep(self, now):
-        """Forget servers that are gone, and requests past any timeout."""
+        """Remove servers that are gone, and placements past any timeout."""
         known = self.registry.servers
         for server_id in [one for one in self.work if one not in known]:
             self.forget_server(server_id, now)
@@ -582,7 +597,7 @@
                 self.drop(*key, now)
 
     def summarize(self, now):
-        """Return the `RegionLoad` of this region by service."""
+        """Return the `RegionLoad` of each service of this region by name."""
         slots = {}
         capacities = {}
         for server in self.registry.servers.values():
@@ -610,23 +625,24 @@
         }
 
     def is_reported(self, server, now):
-        """Whether other regions may count on a server."""
+        """Return whether other regions may use a server."""
         server_id = server.entry.id
         if self.registry.usability(server_id, now) is not Usability.READY:
             return False
         return self.evidence_of(server_id).open(now)
 
     def apply_load_report(self, region, loads, now):
-        """Take over another region's report."""
+        """Apply the load report of another region."""
         self.remote_regions.apply_load_report(region, loads, now)
 
     def work_of(self, server):
-        """Return the model of a server's work.
+        """Return the model of a server's work in progress.
 
-        A host that has just started may hear of servers before it has a
-        configuration. It cannot tell an engine from a plain service then;
-        an engine that kept the wrong model would look idle for good, and
-        take all requests that no other server could begin in time.
+        A host that has just started may learn of servers before it has a
+        configuration, and then cannot distinguish an engine from a plain
+        service. An engine that kept the wrong model would look idle
+        permanently and get all requests that no other server could start in
+        time.
         """
         work = self.work.get(server.entry.id)
         service = self.service_of(server.entry.service)
@@ -668,7 +684,7 @@
 
 
 def highest_capacity(capacities):
-    """Return the rooms that other regions are told of."""
+    """Return the best capacities, which are reported to other regions."""
     ranked = sorted(
         capacities,
         key=lambda capacity: (
@@ -679,7 +695,7 @@
 
 
 def has_unanswered_limit(view):
-    """Whether a server has enough to answer before its first answer."""
+    """Return whether a server has its maximum of requests before an answer."""
     if view.evidence.has_answered:
         return False
     waiting = sum(not one.started for one in view.work.placements.values())
--- a/src/hyssopspring/traffic/plainwork.py
+++ b/src/hyssopspring/traffic/plainwork.py
@@ -1,4 +1,4 @@
-"""The model of a server that answers one call per slot."""
+"""The model of a plain server, which answers one call per slot."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 __all__ = ["INITIAL_CALL_SECONDS", "PlainServerWork"]
 
 INITIAL_CALL_SECONDS = 0.06
-"""Seconds for one call of a plain service, to begin with."""
+"""Initial seconds for one call of a plain service."""
 
 LEARNING_RATE = 0.12
 """Weight of one observation in the moving average of the time of a call."""
@@ -19,8 +19,8 @@
     """Work in progress at a server that answers one call per slot.
 
     Attributes:
-        slots: Calls that run at once.
-        tickets: `Placement` by host and number.
+        slots: Calls that run concurrently.
+        placements: `Placement` by host and number.
         seconds: Moving average of the time of a call.
     """
 
@@ -29,11 +29,11 @@
     seconds: float = INITIAL_CALL_SECONDS
 
     def is_for(self, engine):
-        """Whether the model fits a service with this `EngineSpec`."""
+        """Return whether the model fits a service with this `EngineSpec`."""
         return engine is NOTHING
 
     def idle_seconds(self, demand, uncached):
-        """Return the seconds to an answer of a server that is idle."""
+        """Return the seconds to an answer of an idle server."""
         return self.seconds
 
     def cached_prefix_tokens(self, demand):
@@ -45,43 +45,43 @@
         return 0
 
     def uncached_tokens(self, demand, copied=0):
-        """Return 0; a plain service reads no prompts."""
+        """Return 0; a plain service prefills no prompts."""
         return 0
 
     def predict(self, demand, urgency, now, copied=0):
-        """Return the seconds until an answer would come."""
+        """Return the predicted seconds until an answer."""
         waiting = max(0, len(self.placements) + 1 - self.slots)
         return self.seconds * (1.0 + waiting / self.slots)
 
     def cost(self, demand, urgency, now, copied=0):
-        """Return the seconds that count in a comparison of servers."""
+        """Return the cost in seconds for the comparison of servers."""
         return self.predict(demand, urgency, now) + occupancy_cost(
             self.occupancy()
         )
 
     def assess(self, inquiry, known, limit):
-        """Return what the server would do for a request."""
+        """Return the estimate of the server for a request."""
         predicted = self.predict(inquiry.demand, inquiry.urgency, inquiry.now)
         return Estimate(
             predicted, predicted + occupancy_cost(self.occupancy())
         )
 
     def begin(self, placement, demand):
-        """Count a placed request."""
+        """Add the placement of a request."""
         self.placements[placement.host, placement.number] = placement
 
     def start(self, placement, seconds, now):
-        """Take account of an answer after *seconds*."""
+        """Learn from an answer that came after *seconds*."""
         self.mark_started(placement, now)
         self.seconds += (min(seconds, 1.0) - self.seconds) * LEARNING_RATE
 
     def mark_started(self, placement, now):
-        """Note that an answer has begun."""
+        """Record that an answer has begun."""
         placement.started = True
         placement.started_at = now
 
     def end(self, placement, now, *, whole=False):
-        """Count the end of a request."""
+        """Remove the placement of a request."""
         self.placements.pop((placement.host, placement.number), None)
 
     def waits(self, now):
@@ -89,9 +89,9 @@
         return (self.predict(NOTHING, 5, now) - self.seconds,) * RANKS
 
     def token_time(self, now, backlog=0.0):
-        """Return 0; a plain service makes no tokens."""
+        """Return 0; a plain service produces no tokens."""
         return 0.0
 
     def occupancy(self):
-        """Return the part of the slots that are taken."""
+        """Return the used fraction of the slots."""
         return len(self.placements) / self.slots
--- a/src/hyssopspring/traffic/prefill.py
+++ b/src/hyssopspring/traffic/prefill.py
@@ -1,4 +1,4 @@
-"""How long the engines of a service read, learned from what they do."""
+"""Prefill times of the engines of a service, learned from requests."""
 
 from dataclasses import dataclass, field
 
@@ -6,45 +6,48 @@
 
 TOKENS_UNIT = 1e4
 PAIRS_UNIT = 1e8
-"""Units of tokens, and of pairs of tokens, in which the figures are
-learned; both features of a long prompt are then about 1."""
+"""Units of tokens, and of pairs of tokens, for the learned coefficients. Both
+features of a long prompt are then about 1."""
 
 INITIAL_COEFFICIENTS = (0.01, 0.25, 0.03)
-"""Seconds to a first event besides the reading, for ten thousand tokens,
-and for a hundred million pairs, before anything was observed: figures
-between those of the engines that the users' sheets describe."""
+"""Seconds to a first event besides the prefill, for ten thousand tokens, and
+for a hundred million pairs, before any observation. The values lie between
+those of the engines that the users' sheets describe."""
 
 INITIAL_STD_DEVS = (0.01, 0.15, 0.03)
-"""Standard deviation of the first figures; a dozen prompts outweigh it."""
+"""Standard deviations of the initial coefficients. A dozen prompts outweigh
+them."""
 
 NOISE_SECONDS = 0.03
-"""Standard deviation of one observation in seconds: a step of the batch
-and a chunk of another prompt."""
+"""Standard deviation of one observation in seconds, caused by a step of the
+batch and a chunk of another prompt."""
 
 COVARIANCE_DRIFT = 1e-4
-"""Part of the first doubt that returns with each observation, so that
-the figures follow a service whose engines change."""
+"""Fraction of the initial variance that is added again with each observation,
+so that the coefficients follow a service whose engines change."""
 
 MIN_CLIP_SECONDS = 0.05
 CLIP_FRACTION = 0.3
-"""Most seconds, and part of the expected time, by which one observation
-counts as off: an engine that is slow or stalled tells little of the rest."""
+"""Maximum error of one observation, in seconds and as a fraction of the
+expected time; the larger bound applies. The time of an engine that is slow or
+stalled says little about the other engines."""
 
 MIN_COEFFICIENTS = (0.002, 0.01, 0.0)
-"""Lower bounds of the figures; reading a million tokens in a second and
-more would make load invisible."""
+"""Lower bounds of the coefficients. With an engine that prefills a million
+tokens a second or more, the predictions would not show any load."""
 
 
 @dataclass(slots=True, eq=False)
 class PrefillTimes:
-    """Seconds of reading as a function of a prompt, for one service.
+    """Prefill time as a function of the prompt, for one service.
 
-    The time has a fixed part, a part for each token and one for each pair
-    of a token and one before it. The three are estimated by recursive
-    least squares from prompts that an engine read with none before them.
+    The time has a fixed part, a part for each token and one for each pair of a
+    token and one before it. The three coefficients are estimated by recursive
+    least squares from prompts that had no other prompt before them in the
+    queue.
 
     Attributes:
-        values: The three figures, in the units of this module.
+        coefficients: The three coefficients, in the units of this module.
         covariance: Their covariance, a row for each.
     """
 
@@ -62,18 +65,18 @@
     )
 
     def seconds(self, uncached, pairs):
-        """Return the seconds to a first event of an engine that is idle.
+        """Return the seconds to a first event on an idle engine.
 
         Args:
-            uncached: Tokens of the prompt that it must read.
-            pairs: Pairs of tokens among which it must attend.
+            uncached: Tokens of the prompt that it must prefill.
+            pairs: Pairs of tokens that it must attend over.
         """
         fixed, by_token, by_pair = self.coefficients
         of_tokens = by_token * uncached / TOKENS_UNIT
         return fixed + of_tokens + by_pair * pairs / PAIRS_UNIT
 
     def learn(self, uncached, pairs, observed):
-        """Learn from a prompt whose first event came after *met* seconds."""
+        """Learn from a prompt whose first event took *observed* seconds."""
         features = (1.0, uncached / TOKENS_UNIT, pairs / PAIRS_UNIT)
         expected = self.seconds(uncached, pairs)
         most = max(MIN_CLIP_SECONDS, CLIP_FRACTION * expected)
@@ -92,7 +95,7 @@
 
 
 def attention_pairs(tokens, uncached):
-    """Return the pairs of tokens among which an engine attends.
+    """Return the pairs of tokens that an engine attends over.
 
     Args:
         tokens: Tokens of the prompt.
@@ -102,5 +105,5 @@
 
 
 def dot(left, right):
-    """Return the sum of the products of two rows."""
+    """Return the dot product of two rows."""
     return sum(a * b for a, b in zip(left, right, strict=True))
--- a/src/hyssopspring/traffic/prefillqueue.py
+++ b/src/hyssopspring/traffic/prefillqueue.py
@@ -1,4 +1,4 @@
-"""Prompts that wait to be read by one engine."""
+"""The queue of prompts that wait for their prefill on one engine."""
 
 from dataclasses import dataclass, field
 
@@ -7,21 +7,21 @@
 __all__ = ["PrefillQueue"]
 
 URGENCY_LEVELS = 10
-"""Ranks that a server knows, 0 to 9."""
+"""Number of urgencies that a server distinguishes, 0 to 9."""
 
 
 @dataclass(slots=True, eq=False)
 class PrefillQueue:
-    """Prompts that are to be read, and the seconds of reading by urgency.
+    """Prompts to prefill, and their prefill time by urgency.
 
-    The sums are kept as prompts come and go. Each choice asks each engine
-    for them; walked anew, sixteen requests at each of 35 engines took a
-    third of the time of a choice.
+    The sums are updated as prompts are added and removed, since each placement
+    needs them for each engine. Computing them from sixteen requests on each of
+    35 engines took a third of the time of a placement.
 
     Attributes:
-        tickets: Each `Placement` by host and number.
-        counts: Prompts by urgency.
-        seconds: Seconds of reading by urgency.
+        placements: Each `Placement` by host and number.
+        counts: Number of prompts by urgency.
+        seconds: Prefill time in seconds by urgency.
     """
 
     placements: dict = field(default_factory=dict)
@@ -29,13 +29,13 @@
     seconds: list = field(default_factory=lambda: [0.0] * URGENCY_LEVELS)
 
     def add(self, placement):
-        """Put a prompt in."""
+        """Add a prompt."""
         self.placements[placement.host, placement.number] = placement
         self.counts[placement.urgency] += 1
         self.seconds[placement.urgency] += placement.prefill_seconds
 
     def remove(self, placement):
-        """Take a prompt out, if it is in."""
+        """Remove a prompt if it is in the queue."""
         key = placement.host, placement.number
         if self.placements.get(key) is not placement:
             return
@@ -43,15 +43,16 @@
         self.counts[placement.urgency] -= 1
         self.seconds[placement.urgency] -= placement.prefill_seconds
         if not self.counts[placement.urgency]:
-            # Ends the drift of sums and differences of fractions.
+            # Clears the rounding error that additions and subtractions
+            # leave.
             self.seconds[placement.urgency] = 0.0
 
     def seconds_up_to(self, urgency):
-        """Return the seconds of reading of all as urgent, or more so."""
+        """Return the prefill time of all that are at least as urgent."""
         return sum(self.seconds[: urgency + 1])
 
     def first(self):
-        """Return the most urgent prompt, the oldest of these."""
+        """Return the most urgent prompt, the oldest one among equals."""
         return min(
             self.placements.values(),
             key=lambda one: (one.urgency, one.placed_at),
--- a/src/hyssopspring/traffic/regions.py
+++ b/src/hyssopspring/traffic/regions.py
@@ -1,4 +1,4 @@
-"""What the servers of other regions can take, as this region believes."""
+"""Estimated capacity of the servers of other regions."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
@@ -22,42 +22,43 @@
 ]
 
 REPORT_LAG_SECONDS = 0.17
-"""Seconds by which a report lags behind what was sent: a request needs 80
-ms to reach the other region, and so does the report that counts it."""
+"""Seconds by which a report lags behind the requests that were sent. A
+request needs 80 ms to reach the other region, and so does the report that
+counts it."""
 
 UNREPORTED_OCCUPANCY = 0.5
-"""Part of its places that a server is taken to have in use in a region
-that is heard but has not told its load."""
+"""Assumed occupancy of a server in a region from which hosts are seen but no
+load report has been received."""
 
 CACHED_PART_TTL_SECONDS = 8.0
-"""Seconds for which a part is taken to be cached where it was sent; an
-engine under load keeps its prompts for about that long."""
+"""Seconds for which a part of a prompt is assumed to be cached where it was
+sent. An engine under load keeps its prompts for about that long."""
 
 PART_REPORT_SECONDS = 0.7
-"""Seconds for which a part that was read is told to other regions: in three
-reports, of which two may be lost."""
+"""Seconds for which a part that was prefilled is reported to other regions.
+This covers three reports, of which two may be lost."""
 
 MIN_REPORTED_TOKENS = 1024
-"""Tokens from which a part is told; less is read in a step or two."""
+"""Minimum size in tokens of a part that is reported. A smaller part is
+prefilled in one or two engine steps."""
 
 MAX_REPORTED_PARTS = 64
-"""Parts that one report names at most, the newest: 320 bytes. A region with
-a hundred prompts a second would name 70 of them."""
+"""Maximum number of parts in one report, the newest ones first. They take 320
+bytes; a region with a hundred prompts a second would name 70."""
 
 MAX_CACHED_PARTS = 4096
-"""Parts of prompts that are remembered for one region."""
+"""Maximum number of parts of prompts that are stored for one region."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCapacity:
-    """Room at one server of another region.
+    """Capacity of one server of another region.
 
     Attributes:
         waits: Seconds that a new request would wait, by its rank.
-        occupancy: Part of its slots or memory in use; may exceed 1.
+        occupancy: Fraction of its slots or memory in use; may exceed 1.
         token_seconds: Seconds that it needs for an output token.
-        spare: Requests that its limit lets through now, or `NOTHING` if it
-            has none.
+        spare: Requests that its limit allows now, or `NOTHING` if it has none.
     """
 
     waits: tuple
@@ -68,13 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionLoad:
-    """What a region says of one service.
+    """Reported load of one service in a region.
 
     Attributes:
-        slots: Requests that one server runs at once.
-        capacities: `ServerCapacity` of each open server, the best first.
-        read: Short names of parts of prompts that its servers have read
-            of late.
+        slots: Requests that one server runs concurrently.
+        capacities: `ServerCapacity` of the servers that accept requests, the
+            best first.
+        prefilled_parts: Short names of the parts of prompts that its servers
+            have prefilled recently.
     """
 
     slots: int
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddedWork:
-    """What a request brings to a server.
+    """Work that a request adds to a server.
 
     Attributes:
         seconds: Seconds of work before its first event.
@@ -99,7 +101,7 @@
 
 @dataclass(slots=True, eq=False)
 class EstimatedServer:
-    """Room at one server, with what was sent there since the report."""
+    """Capacity of one server, with what was sent to it since the report."""
 
     waits: list
     occupancy: float
@@ -108,15 +110,15 @@
 
     @property
     def is_open(self):
-        """Whether it takes one more request."""
+        """Whether the server accepts one more request."""
         return self.spare is NOTHING or self.spare > 0
 
     def seconds_to_start(self, added):
-        """Return the seconds until a request would begin."""
+        """Return the seconds until the first event of a request."""
         return self.waits[added.rank] + added.seconds
 
     def cost(self, added):
-        """Return the seconds that count in a comparison."""
+        """Return the cost in seconds for the comparison of servers."""
         seconds_to_start = self.seconds_to_start(added)
         answer = answer_cost(
             added.demand.tokens_out,
@@ -129,7 +131,7 @@
         )
 
     def add(self, added, slots):
-        """Count a request that was sent there."""
+        """Count a request that was sent to the server."""
         for rank in range(added.rank, RANKS):
             self.waits[rank] += added.seconds
         self.occupancy += 1.0 / slots
@@ -137,7 +139,7 @@
             self.spare -= 1
 
     def advance(self, seconds):
-        """Let time pass, in which waiting work is done."""
+        """Reduce the waits by *seconds*, in which waiting work is done."""
         waits = self.waits
         for rank, wait in enumerate(waits):
             waits[rank] = wait - seconds if wait > seconds else 0.0
@@ -145,19 +147,19 @@
 
 @dataclass(slots=True, eq=False)
 class RemoteLoad:
-    """One service of another region, between its reports.
+    """Load of one service of another region, tracked between its reports.
 
-    A report is as old as the way between regions is long. Without a count
-    of what was sent in the meantime, all requests until the next report
-    would go to the region that looked best in the last one; with a count
-    for the region as a whole, its best server would seem to fill alone
-    while the others stay idle. So each server is counted by itself.
+    A report is as old as the one-way latency between the regions. If requests
+    sent in the meantime were not counted, all requests until the next report
+    would go to the region that was best in the last one. If they were counted
+    for the region as a whole, its best server would appear to fill up while
+    the others stay idle. So requests are counted for each server.
 
     Attributes:
-        slots: Requests that one server runs at once.
+        slots: Requests that one server runs concurrently.
         servers: `EstimatedServer` of each server.
-        at: Time up to which waits have run down.
-        sent: Time and `AddedWork` of what was sent of late.
+        at: Time up to which the waits are reduced.
+        sent: Time and `AddedWork` of each recently sent request.
     """
 
     slots: int = 1
@@ -166,7 +168,7 @@
     sent: deque = field(default_factory=deque)
 
     def apply_report(self, load, now):
-        """Take over a report, and count what it cannot know of."""
+        """Apply a report, and add the requests that it cannot include yet."""
         self.slots = max(1, load.slots)
         self.servers = [
             EstimatedServer(
@@ -184,10 +186,10 @@
             self.add(added)
 
     def best(self, added, now):
-        """Return the `EstimatedServer` server that would answer first.
+        """Return the `EstimatedServer` with the lowest cost.
 
         Args:
-            added: What the request brings.
+            added: Work that the request adds.
             now: The time.
         """
         passed = max(0.0, now - self.at)
@@ -198,16 +200,16 @@
         return min(self.open_servers(), key=lambda one: one.cost(added))
 
     def open_servers(self):
-        """Return the `EstimatedServer` servers that take one more request."""
+        """Return the servers that accept one more request."""
         return [server for server in self.servers if server.is_open]
 
     def count(self, added, now):
-        """Count a request that is sent there now."""
+        """Count a request that is sent to the region now."""
         self.sent.append((now, added))
         self.add(added)
 
     def add(self, added):
-        """Put work on the server that would take it."""
+        """Add work to the server with the lowest cost."""
         servers = self.open_servers()
         if servers:
             server = min(servers, key=lambda one: one.cost(added))
@@ -215,23 +217,24 @@
 
 
 class CachedParts:
-    """Parts of prompts that the servers of one region have read of late.
+    """Parts of prompts that the servers of one region have recently cached.
 
-    The region tells those that it has read, and what was sent there counts
-    at once. The next prompt with the same parts is answered sooner there
-    than in a region that would read them again; each reading of a subject
-    of 5,000 tokens takes 0.1 s of an engine from all who wait there.
+    The region reports the parts that it has prefilled, and parts of requests
+    that are sent there count at once. The next prompt with the same parts is
+    answered sooner in that region than in one that would prefill them again:
+    prefilling a subject of 5,000 tokens takes 0.1 s of an engine's time from
+    all requests that wait there.
     """
 
     def __init__(self):
         self.times = OrderedDict()
 
     def note(self, parts, now):
-        """Note that *parts* are sent there."""
+        """Record *parts* that are sent to the region."""
         self.note_names([short_id(part) for part, _ in parts], now)
 
     def note_names(self, names, now):
-        """Note parts that were read there, by their short names."""
+        """Record parts that were prefilled in the region, by short name."""
         for name in names:
             self.times[name] = now
             self.times.move_to_end(name)
@@ -239,7 +242,7 @@
             self.times.popitem(last=False)
 
     def uncached_tokens(self, demand, now):
-        """Return the tokens of a prompt that must be read there."""
+        """Return the tokens of a prompt that must be prefilled there."""
         known = 0
         for part, tokens in demand.parts:
             at = self.times.get(short_id(part), -CACHED_PART_TTL_SECONDS)
@@ -250,6 +253,6 @@
 
 
 def unreported_load(slots, servers):
-    """Return the `RegionLoad` of a region that has told nothing."""
+    """Return the `RegionLoad` of a region that has sent no report."""
     capacity = ServerCapacity((0.0,) * RANKS, UNREPORTED_OCCUPANCY)
     return RegionLoad(slots, (capacity,) * servers)
--- a/src/hyssopspring/traffic/remoteregions.py
+++ b/src/hyssopspring/traffic/remoteregions.py
@@ -1,4 +1,4 @@
-"""Weigh the other regions for a request, by what they tell."""
+"""Choose among the other regions by their load reports."""
 
 from collections import deque
 
@@ -23,25 +23,26 @@
 __all__ = ["INTER_REGION_SECONDS", "RemoteRegions"]
 
 INTER_REGION_SECONDS = 0.2
-"""Seconds by which another region answers later: a round trip between
-regions of 160 ms, and a hop at each end."""
+"""Seconds that a request to another region takes longer: a round trip between
+regions of 160 ms, and one hop at each end."""
 
 LOAD_REPORT_TTL_SECONDS = 1.5
-"""Seconds for which another region's load report is used; it is sent a
-few times a second, and who is silent so long may be cut off."""
+"""Seconds for which the load report of another region is used. Reports are
+sent a few times a second, so a region that has sent none for this long may be
+partitioned off."""
 
 
 class RemoteRegions:
-    """What is known of the other regions, and of what was sent there.
+    """Load of the other regions, and of the requests sent there.
 
     Args:
-        region: The own region.
+        region: The region of this host.
         registry: The `Registry`.
         service_of: Called with a name; returns the `Service`.
-        figures_of: Called with a name; returns its `PrefillTimes`.
-        live_regions: Called with the time; returns the regions in which
-            hosts live.
-        disabled: Each `Mechanism` that is switched off.
+        prefill_times_of: Called with a name; returns its `PrefillTimes`.
+        live_regions: Called with the time; returns the regions that have live
+            hosts.
+        disabled: Each `Mechanism` that is disabled.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         Args:
             query: The `PlacementQuery`.
             now: The time.
-            limit: Cost from which on a region is of no interest.
+            limit: Cost from which on a region is not considered.
         """
         best = NO_CANDIDATE
         if not query.may_leave:
@@ -102,8 +103,8 @@
     def remote_load(self, region, service, now):
         """Return the `RemoteLoad` of a service in another region.
 
-        A region whose hosts are heard while its report is missing may
-        well serve the request; it is taken to be fairly busy.
+        A region that has live hosts but whose report is missing may well be
+        able to serve the request. It is assumed to be fairly busy.
         """
         loads = self.remote_loads.setdefault(region, {})
         reported_at = self.reported_at.get(region, NOTHING)
@@ -119,7 +120,7 @@
         return load
 
     def work_seconds(self, query, region, now):
-        """Return the seconds of work that a request brings to a region."""
+        """Return the seconds of work that a request adds to a region."""
         if self.service_of(query.service).engine is NOTHING:
             return INITIAL_CALL_SECONDS
         demand = query.demand
@@ -128,7 +129,7 @@
         return self.prefill_times_of(query.service).seconds(uncached, pairs)
 
     def send(self, query, remote, now):
-        """Choose another region, and count on its load at once."""
+        """Choose another region, and add the request to its load at once."""
         load = self.remote_load(remote.target, query.service, now)
         seconds = self.work_seconds(query, remote.target, now)
         rank = rank_of(urgency_of(query))
@@ -138,7 +139,7 @@
         return PlacedRemotely(remote.target, remote.predicted)
 
     def note_prefilled(self, service, demand, now):
-        """Remember the shared parts that a server here will have cached."""
+        """Record the shared parts that a server of this region will cache."""
         for part, tokens in demand.parts[:-1]:
             if tokens >= MIN_REPORTED_TOKENS:
                 self.prefilled_parts.append((now, service, short_id(part)))
@@ -149,7 +150,7 @@
             self.prefilled_parts.popleft()
 
     def reported_parts(self, service, now):
-        """Return the short names of parts to be told to other regions."""
+        """Return the short names of the parts to report to other regions."""
         names = [
             name
             for at, of, name in self.prefilled_parts
@@ -162,7 +163,7 @@
         return self.cached_parts.setdefault(region, CachedParts())
 
     def apply_load_report(self, region, loads, now):
-        """Take over another region's report."""
+        """Apply the load report of another region."""
         known = self.remote_loads.setdefault(region, {})
         for service in [one for one in known if one not in loads]:
             del known[service]
--- a/src/hyssopspring/traffic/work.py
+++ b/src/hyssopspring/traffic/work.py
@@ -1,4 +1,4 @@
-"""What requests ask of a server, and what counts in a comparison."""
+"""Resource demand of requests, and their cost on a server."""
 
 from dataclasses import dataclass, field
 
@@ -14,25 +14,25 @@
 ]
 
 OCCUPANCY_COST_SECONDS = 0.08
-"""Seconds by which a full batch counts as worse than an empty one; it
-spreads requests over servers that would be equally quick to begin."""
+"""Seconds that a full batch adds to the cost of a server compared to an empty
+one. This spreads requests over servers that would start them equally soon."""
 
 CROWDED_OCCUPANCY = 0.7
-"""Part of a server's places from which on each further request counts
-much more: the next ones must wait for an end, in whatever order they
-come, and the less urgent are overtaken or dropped midway."""
+"""Occupancy of a server from which on each further request costs much more.
+Requests beyond it must wait for others to end in any order, and the less
+urgent ones are overtaken or preempted midway."""
 
 CROWDING_COST_SECONDS = 1.2
-"""Seconds by which a server counts as worse for each whole of its places
-above `CROWDED_OCCUPANCY`; a full one so counts 0.36 s more, about the way to
-another region and the reading of shared parts there."""
+"""Seconds of cost for an occupancy of 1.0 above `CROWDED_OCCUPANCY`. A full
+server so costs 0.36 s more, which is about the latency to another region and
+the prefill of the shared parts there."""
 
 
 def occupancy_cost(occupancy):
-    """Return the seconds by which a server counts as worse.
+    """Return the cost in seconds of the occupancy of a server.
 
     Args:
-        occupancy: Part of its places that are taken; may exceed 1.
+        occupancy: Fraction of its slots or memory in use; may exceed 1.
     """
     return (
         occupancy * OCCUPANCY_COST_SECONDS
@@ -41,34 +41,35 @@
 
 
 PREFILL_COST_FACTOR = 2.0
-"""Part by which the reading of a prompt counts more in a comparison of
-servers: it delays all who wait behind as well."""
+"""Additional weight of the prefill time in the cost of a server, since a
+prefill delays all requests that wait behind it as well."""
 
 
 ANSWER_COST_FACTOR = 0.05
-"""Part by which the time of a whole answer counts in a comparison: a
-server that reads prompts all the time makes a long answer six times as
-slowly, and one that takes too long is cut at its caller's deadline."""
+"""Weight of the time of a whole answer in the cost of a server. A server that
+prefills prompts all the time produces a long answer six times as slowly, and
+an answer that takes too long is aborted at its caller's deadline."""
 
 SAFE_DEADLINE_FRACTION = 0.6
-"""Part of the time allowed up to which an answer is sure to end in time;
-callers' estimates of its length are often off by half."""
+"""Fraction of the allowed time within which an answer is sure to end in time.
+Callers' estimates of its length are often wrong by half."""
 
 CUT_ANSWER_COST_SECONDS = 1.5
-"""Seconds by which a server counts as worse for each whole of that part by
-which an answer would take longer there."""
+"""Seconds of cost for an answer that takes twice the safe part of the allowed
+time, proportionally less for a shorter one. This is also the maximum."""
 
 RANKS = 3
-"""Classes of urgency that differ in how long they wait: 2, 4 and 6."""
+"""Number of urgency classes that differ in their waiting time: urgencies 2, 4
+and 6."""
 
 
 def answer_cost(tokens, token_seconds, allowed):
-    """Return the seconds by which a slow answer makes a server worse.
+    """Return the cost in seconds of a slow answer.
 
     Args:
         tokens: Tokens of the answer.
-        token_seconds: Seconds that the server needs for one.
-        allowed: Seconds in which the answer must be whole.
+        token_seconds: Seconds that the server needs for one token.
+        allowed: Seconds in which the answer must be complete.
     """
     seconds = tokens * token_seconds
     over = max(0.0, seconds / max(allowed * SAFE_DEADLINE_FRACTION, 0.1) - 1.0)
@@ -84,13 +85,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Demand:
-    """What a request asks of a server.
+    """The resource demand of a request.
 
     Attributes:
         parts: Identifier and tokens of each part of the prompt, in order.
         tokens_in: Tokens of the prompt.
-        tokens_out: Tokens of the answer, as far as can be told.
-        answer_within: Seconds in which the answer must be whole.
+        tokens_out: Estimated tokens of the answer.
+        answer_within: Seconds in which the answer must be complete.
     """
 
     parts: tuple = ()
@@ -101,15 +102,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EstimateRequest:
-    """What is asked of each server about one request.
+    """Input of the estimates of all servers for one request.
 
     Attributes:
         demand: The `Demand`.
         urgency: Its rank among waiting requests.
         now: The time.
-        most_cached: Most tokens of the prompt that one server has cached.
-        readings: Seconds of reading by tokens to be read, kept from one
-            server to the next.
+        most_cached: Largest number of tokens of the prompt that one server has
+            cached.
+        idle_seconds_by_tokens: Prefill time in seconds by number of tokens,
+            cached from one server to the next.
     """
 
     demand: Demand
@@ -121,11 +123,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What a server would do for a request.
+    """Estimate of a server for a request.
 
     Attributes:
         predicted: Seconds to the answer or first event.
-        cost: Seconds that count in a comparison.
+        cost: Cost in seconds for the comparison of servers.
         copied: Tokens that it would copy from another server.
     """
 
@@ -136,27 +138,29 @@
 
 @dataclass(slots=True, eq=False)
 class Placement:
-    """A request that was placed at a server.
+    """A request that was placed on a server.
 
     Attributes:
-        host: Host that carries it out.
+        host: Host that runs the request.
         number: The host's number for it.
         server_id: The server.
         placed_at: Time of the placement.
-        fresh_tokens: Tokens to be read that the server has not cached.
+        uncached_tokens: Tokens to prefill, which the server has not cached.
         tokens: Memory that it takes, in tokens.
-        tokens_out: Tokens that it will make.
+        tokens_out: Output tokens that are expected.
         urgency: Rank among waiting requests; 0 goes first.
-        predicted: Seconds to its first event, as predicted.
+        predicted: Predicted seconds to its first event.
         started: Whether its first event has come.
         started_at: Time of its first event.
-        alone: Whether no prompt was waiting at the server before it, so
-            that its first event tells how long its own reading took.
-        reading: Seconds of reading at an ordinary pace.
-        lost: Whether it must have been read although no event came.
-        read_before: Seconds that its server had read when it began.
-        apart: Fingerprint of a request that runs apart from others like
-            it, or an empty string.
+        found_idle: Whether no prompt was waiting at the server before it, so
+            that the time to its first event equals its own prefill time.
+        prefill_seconds: Prefill time in seconds without a slowdown.
+        lost: Whether its prompt must have been prefilled although no event
+            came.
+        prefill_seconds_at_start: Total prefill time of its server when it
+            started.
+        apart: Fingerprint of a request that is isolated from other suspected
+            requests, or an empty string.
     """
 
     host: str
@@ -178,7 +182,7 @@
 
     @property
     def waiting(self):
-        """Whether its prompt is still to be read."""
+        """Whether its prompt still waits for its prefill."""
         return not self.started and not self.lost
 
     @property
--- a/src/hyssopspring/traffic/workmodels.py
+++ b/src/hyssopspring/traffic/workmodels.py
@@ -1,4 +1,4 @@
-"""Choose the model of a server by the service that it offers."""
+"""Choose the model of a server's work by its service."""
 
 from ..core.sentinels import NOTHING
 from .enginework import EngineWork
@@ -10,14 +10,14 @@
 def make_work(
     service, slots, prefill_times, decode_times, *, disabled=frozenset()
 ):
-    """Return the model of a server.
+    """Return the model of a server's work in progress.
 
     Args:
         service: Its `Service`.
-        slots: Requests that it runs at once, as its entry says.
+        slots: Requests that it runs concurrently, according to its entry.
         prefill_times: `PrefillTimes` of the service.
         decode_times: `DecodeTimes` of the service.
-        disabled: Each `Mechanism` that is switched off.
+        disabled: Each `Mechanism` that is disabled.
     """
     if service.engine is NOTHING:
         return PlainServerWork(max(1, slots))
--- a/src/hyssopspring/traffic/workspaces.py
+++ b/src/hyssopspring/traffic/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces: who may ask, and with which rights."""
+"""Workspaces: their keys, their permissions and their token limits."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TokenLimit:
-    """How much a workspace may ask for, over all hosts.
+    """Rate limit of the tokens of a workspace, over all hosts.
 
     Attributes:
         rate: Tokens a second.
-        burst: Tokens besides.
-        plain_tokens: Tokens that a request counts which states none.
-        by_request: Whether each request counts as one, in place of its
+        burst: Tokens that may be used on top of the rate.
+        plain_tokens: Tokens counted for a request that states none.
+        counts_requests: Whether each request counts as one, instead of its
             tokens.
     """
 
@@ -25,7 +25,7 @@
     counts_requests: bool = False
 
     def count(self, tokens):
-        """Return what a request counts.
+        """Return the number that a request counts against the limit.
 
         Args:
             tokens: Tokens that it states, or `NOTHING`.
@@ -37,13 +37,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workspace:
-    """A group of callers with rights of its own.
+    """A customer with permissions of its own.
 
     Attributes:
         name: Its name.
         key_digests: Digest of each of its keys.
-        priority: Rank of its requests, before that of their route; 0 is
-            the highest; `NOTHING` if that of the route holds.
+        priority: Rank of its requests, which takes precedence over that of
+            their route; 0 is the highest; `NOTHING` if that of the route
+            applies.
         homes: Regions that may serve it; empty for all.
         limit: Its `TokenLimit`, or `NOTHING`.
     """
