--- a/src/hyssopspring/traffic/decoding.py
+++ b/src/hyssopspring/traffic/decoding.py
@@ -65,18 +65,18 @@
 
     Attributes:
         recent: The fraction by rank.
-        at: Time of the last change.
+        updated_at: Time of the last change.
     """
 
     recent: list = field(default_factory=lambda: [0.0] * RANKS)
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def note(self, rank, seconds, now):
+    def add(self, rank, seconds, now):
         """Record that a prompt of *rank* was prefilled in *seconds*."""
-        kept = math.exp(-max(0.0, now - self.at) / DUTY_CYCLE_SECONDS)
-        self.recent = [part * kept for part in self.recent]
+        decay = math.exp(-max(0.0, now - self.updated_at) / DUTY_CYCLE_SECONDS)
+        self.recent = [fraction * decay for fraction in self.recent]
         self.recent[rank] += seconds / DUTY_CYCLE_SECONDS
-        self.at = now
+        self.updated_at = now
 
     def slowdown(self, rank, now):
         """Return the factor by which more urgent prompts extend a wait.
@@ -85,9 +85,9 @@
         Without this factor, prompts of the lowest rank start late although
         they were predicted to be on time.
         """
-        kept = math.exp(-max(0.0, now - self.at) / DUTY_CYCLE_SECONDS)
-        taken = sum(self.recent[:rank]) * kept
-        return 1.0 / (1.0 - min(MAX_OVERTAKING_FRACTION, taken))
+        decay = math.exp(-max(0.0, now - self.updated_at) / DUTY_CYCLE_SECONDS)
+        used = sum(self.recent[:rank]) * decay
+        return 1.0 / (1.0 - min(MAX_OVERTAKING_FRACTION, used))
 
 
 @dataclass(slots=True, eq=False)
@@ -96,28 +96,28 @@
 
     Attributes:
         prefilling: Whether it prefills now.
-        since: Time up to which the other values are updated.
+        updated_at: Time up to which the other values are updated.
         recent: The fraction over the last seconds.
         total: Total seconds of prefill.
     """
 
     prefilling: bool = False
-    since: float = 0.0
+    updated_at: float = 0.0
     recent: float = 0.0
     total: float = 0.0
 
-    def note(self, prefilling, now):
+    def set_prefilling(self, prefilling, now):
         """Record whether the engine prefills from now on."""
         self.advance(now)
         self.prefilling = prefilling
 
     def advance(self, now):
         """Update the values up to *now*."""
-        passed = max(0.0, now - self.since)
-        kept = math.exp(-passed / DUTY_CYCLE_SECONDS)
-        self.recent = self.recent * kept + (1.0 - kept) * self.prefilling
-        self.total += passed * self.prefilling
-        self.since = max(now, self.since)
+        elapsed = max(0.0, now - self.updated_at)
+        decay = math.exp(-elapsed / DUTY_CYCLE_SECONDS)
+        self.recent = self.recent * decay + (1.0 - decay) * self.prefilling
+        self.total += elapsed * self.prefilling
+        self.updated_at = max(now, self.updated_at)
 
     def expected(self, backlog, seconds):
         """Return the fraction expected in the next *seconds*.
@@ -126,5 +126,5 @@
             backlog: Seconds of prefill that already wait.
             seconds: Length of the time span.
         """
-        sure = min(1.0, backlog / max(seconds, 1e-3))
-        return sure + (1.0 - sure) * self.recent
+        certain = min(1.0, backlog / max(seconds, 1e-3))
+        return certain + (1.0 - certain) * self.recent
--- a/src/hyssopspring/traffic/enginework.py
+++ b/src/hyssopspring/traffic/enginework.py
@@ -117,7 +117,7 @@
     prefill_slowdown_at: float = 0.0
     active_prefill: object = NOTHING
     active_prefill_since: float = 0.0
-    duty: DutyCycle = field(default_factory=DutyCycle)
+    duty_cycle: DutyCycle = field(default_factory=DutyCycle)
     rank_utilization: RankUtilization = field(default_factory=RankUtilization)
     decode_slowdown: float = 1.0
 
@@ -137,12 +137,12 @@
 
     def cached_prefix_tokens(self, demand):
         """Return the tokens of the prompt's prefix that are cached here."""
-        known = 0
+        cached_prefix = 0
         for part, tokens in demand.parts:
             if part not in self.cached:
                 break
-            known += tokens
-        return known
+            cached_prefix += tokens
+        return cached_prefix
 
     def copied_tokens(self, demand, most_cached):
         """Return the tokens that are worth copying from another server.
@@ -155,24 +155,24 @@
             most_cached - self.cached_prefix_tokens(demand)
         )
 
-    def worth_copying(self, more):
-        """Return *more* tokens if a copy of them pays off, or 0."""
-        if not self.spec.copy_seconds or more < MIN_COPIED_TOKENS:
+    def worth_copying(self, tokens):
+        """Return *tokens* if a copy of so many pays off, or 0."""
+        if not self.spec.copy_seconds or tokens < MIN_COPIED_TOKENS:
             return 0
-        return more
+        return tokens
 
     def uncached_tokens(self, demand, copied=0):
         """Return the tokens of the prompt that must be prefilled here."""
-        known = self.cached_prefix_tokens(demand) + copied
-        return max(1, demand.tokens_in - known)
+        cached_prefix = self.cached_prefix_tokens(demand) + copied
+        return max(1, demand.tokens_in - cached_prefix)
 
     def current_prefill_slowdown(self, now):
         """Return the slowdown, which decays to normal without evidence."""
         age = now - self.prefill_slowdown_at
         if age >= PREFILL_SLOWDOWN_DECAY_SECONDS:
             return 1.0
-        kept = 1.0 - max(0.0, age) / PREFILL_SLOWDOWN_DECAY_SECONDS
-        return 1.0 + (self.prefill_slowdown - 1.0) * kept
+        weight = 1.0 - max(0.0, age) / PREFILL_SLOWDOWN_DECAY_SECONDS
+        return 1.0 + (self.prefill_slowdown - 1.0) * weight
 
     def prefill_wait(self, urgency, now):
         """Return the seconds of prefill before a request of *urgency*."""
@@ -187,20 +187,20 @@
             Mechanism.HEAD not in self.disabled
             or active_prefill.urgency <= urgency
         ):
-            wait += self.active_prefill_left(now)
+            wait += self.active_prefill_remaining(now)
         if Mechanism.OVERTAKING in self.disabled:
             return wait
         return wait * self.rank_utilization.slowdown(rank_of(urgency), now)
 
-    def active_prefill_left(self, now):
+    def active_prefill_remaining(self, now):
         """Return the remaining seconds of the prompt in prefill."""
-        passed = now - self.active_prefill_since
-        left = (
+        elapsed = now - self.active_prefill_since
+        remaining = (
             self.active_prefill.prefill_seconds
             * self.current_prefill_slowdown(now)
-            - passed
+            - elapsed
         )
-        return max(left, -left * OVERDUE_FRACTION)
+        return max(remaining, -remaining * OVERDUE_FRACTION)
 
     def slot_wait(self, tokens, now):
         """Return the seconds until a slot and memory are free.
@@ -219,13 +219,13 @@
         seconds = 0.0
         token = self.token_time(now)
         ends = [
-            (seconds_left(placement, token, now), placement.tokens)
+            (remaining_seconds(placement, token, now), placement.tokens)
             for placement in self.placements.values()
         ]
         if slots <= 1 and memory <= 0:
             return min(ends)[0]
-        for left, freed in sorted(ends):
-            seconds = left
+        for remaining, freed in sorted(ends):
+            seconds = remaining
             slots -= 1
             memory -= freed
             if slots <= 0 and memory <= 0:
@@ -298,7 +298,7 @@
             demand.answer_within - predicted,
         )
 
-    def assess(self, inquiry, known, limit):
+    def estimate(self, request, cached_prefix, limit):
         """Return the estimate of the engine for a request.
 
         The result equals that of `cost` and `predict`. Each part is computed
@@ -306,26 +306,26 @@
         engines this takes a third of the time of calling those two methods.
 
         Args:
-            inquiry: The `EstimateRequest`.
-            known: Tokens of the prompt that are cached here.
+            request: The `EstimateRequest`.
+            cached_prefix: Tokens of the prompt that are cached here.
             limit: Cost from which on the engine is not considered.
 
         Returns:
             An `Estimate`, or `NOTHING` if its cost exceeds *limit*.
         """
-        demand, now = inquiry.demand, inquiry.now
-        copied = self.worth_copying(inquiry.most_cached - known)
-        uncached = max(1, demand.tokens_in - known - copied)
-        idle_seconds = inquiry.idle_seconds_by_tokens.get(uncached)
+        demand, now = request.demand, request.now
+        copied = self.worth_copying(request.most_cached - cached_prefix)
+        uncached = max(1, demand.tokens_in - cached_prefix - copied)
+        idle_seconds = request.idle_seconds_by_tokens.get(uncached)
         if idle_seconds is None:
-            idle_seconds = inquiry.idle_seconds_by_tokens[uncached] = (
+            idle_seconds = request.idle_seconds_by_tokens[uncached] = (
                 self.idle_seconds(demand, uncached)
             )
         own = idle_seconds * self.current_prefill_slowdown(now)
         least = own * (1.0 + PREFILL_COST_FACTOR) + self.crowding_cost
         if least > limit:
             return NOTHING
-        prefill_wait = self.prefill_wait(inquiry.urgency, now)
+        prefill_wait = self.prefill_wait(request.urgency, now)
         if least + prefill_wait > limit:
             return NOTHING
         tokens = demand.tokens_in + demand.tokens_out
@@ -343,8 +343,8 @@
             now: The time.
             backlog: Seconds of prefill that already wait.
         """
-        self.duty.advance(now)
-        duty = self.duty.expected(backlog, DUTY_CYCLE_SECONDS)
+        self.duty_cycle.advance(now)
+        duty = self.duty_cycle.expected(backlog, DUTY_CYCLE_SECONDS)
         return self.decode_times.seconds(duty) * self.decode_slowdown
 
     def begin(self, placement, demand):
@@ -362,7 +362,7 @@
                 placement,
                 placement.placed_at,
             )
-            self.duty.note(True, placement.placed_at)
+            self.duty_cycle.set_prefilling(True, placement.placed_at)
         self.held_tokens += placement.tokens
         self.crowding_cost = occupancy_cost(self.occupancy())
         if demand is NOTHING:
@@ -381,23 +381,23 @@
 
     def trim(self):
         """Remove the parts that the engine has evicted by now."""
-        room = max(0, self.memory - self.held_tokens)
-        while self.cached and self.cached_tokens > room:
+        free_tokens = max(0, self.memory - self.held_tokens)
+        while self.cached and self.cached_tokens > free_tokens:
             self.cached_tokens -= self.cached.popitem(last=False)[1]
 
     def start(self, placement, seconds, now):
         """Learn from a first event that came after *seconds*."""
-        was_head = placement is self.active_prefill
-        self.rank_utilization.note(
+        was_active = placement is self.active_prefill
+        self.rank_utilization.add(
             rank_of(placement.urgency), placement.prefill_seconds, now
         )
-        read = (
+        prefill_seconds = (
             seconds
             if placement.found_idle
             else now - self.active_prefill_since
         )
         self.mark_started(placement, now)
-        if not was_head:
+        if not was_active:
             return
         learns = Mechanism.FIGURES not in self.disabled
         if learns and placement.found_idle and placement.uncached_tokens > 1:
@@ -405,7 +405,9 @@
                 placement.tokens_in, placement.uncached_tokens
             )
             self.prefill_times.learn(placement.uncached_tokens, pairs, seconds)
-        self.learn_prefill_slowdown(placement.prefill_seconds, read, now)
+        self.learn_prefill_slowdown(
+            placement.prefill_seconds, prefill_seconds, now
+        )
 
     def mark_started(self, placement, now):
         """Record the end of a prefill, and choose the next prompt.
@@ -419,8 +421,8 @@
         self.queue.remove(placement)
         placement.started = True
         placement.started_at = now
-        self.duty.advance(now)
-        placement.prefill_seconds_at_start = self.duty.total
+        self.duty_cycle.advance(now)
+        placement.prefill_seconds_at_start = self.duty_cycle.total
         if active_prefill is NOTHING:
             return
         if (
@@ -435,7 +437,7 @@
         """Choose the prompt that the engine prefills from now on."""
         self.active_prefill = self.queue.first()
         self.active_prefill_since = now
-        self.duty.note(self.active_prefill is not NOTHING, now)
+        self.duty_cycle.set_prefilling(self.active_prefill is not NOTHING, now)
 
     def learn_prefill_slowdown(self, expected, observed, now):
         """Learn from a prompt that was prefilled in *observed* seconds."""
@@ -449,22 +451,22 @@
         )
         self.prefill_slowdown_at = now
 
-    def end(self, placement, now, *, whole=False):
+    def end(self, placement, now, *, complete=False):
         """Remove a placement, and learn from a complete answer.
 
         Args:
             placement: The `Placement`.
             now: The time.
-            whole: Whether its answer is complete.
+            complete: Whether its answer is complete.
         """
-        known = self.placements.pop((placement.host, placement.number), None)
-        if known is not None:
-            self.held_tokens -= known.tokens
-            self.queue.remove(known)
+        removed = self.placements.pop((placement.host, placement.number), None)
+        if removed is not None:
+            self.held_tokens -= removed.tokens
+            self.queue.remove(removed)
             self.crowding_cost = occupancy_cost(self.occupancy())
-        if known is not None and known is self.active_prefill:
+        if removed is not None and removed is self.active_prefill:
             self.start_next_prefill(now)
-        if not whole or not placement.started or not placement.tokens_out:
+        if not complete or not placement.started or not placement.tokens_out:
             return
         self.learn_token(placement, now)
 
@@ -473,10 +475,11 @@
         seconds = now - placement.started_at
         if seconds <= 0:
             return
-        self.duty.advance(now)
+        self.duty_cycle.advance(now)
         duty = min(
             1.0,
-            (self.duty.total - placement.prefill_seconds_at_start) / seconds,
+            (self.duty_cycle.total - placement.prefill_seconds_at_start)
+            / seconds,
         )
         observed = seconds / placement.tokens_out
         low, high = DECODE_SLOWDOWN_RANGE
@@ -505,7 +508,7 @@
         return max(len(self.placements) / self.slots, memory)
 
 
-def seconds_left(placement, token_seconds, now):
+def remaining_seconds(placement, token_seconds, now):
     """Return the seconds until a request should end.
 
     Args:
@@ -513,7 +516,7 @@
         token_seconds: Seconds that its server needs for an output token.
         now: The time.
     """
-    whole = placement.tokens_out * token_seconds
+    complete = placement.tokens_out * token_seconds
     if not placement.started:
-        return whole + placement.predicted
-    return max(MIN_REMAINING_SECONDS, whole - (now - placement.started_at))
+        return complete + placement.predicted
+    return max(MIN_REMAINING_SECONDS, complete - (now - placement.started_at))
--- a/src/hyssopspring/traffic/mechanisms.py
+++ b/src/hyssopspring/traffic/mechanisms.py
@@ -36,12 +36,12 @@
     Raises:
         SettingsError: A label is not that of a mechanism.
     """
-    known = {mechanism.label: mechanism for mechanism in Mechanism}
+    mechanisms = {mechanism.label: mechanism for mechanism in Mechanism}
     labels = [label.strip() for label in text.split(",") if label.strip()]
     for label in labels:
-        if label not in known:
-            names = ", ".join(sorted(known))
+        if label not in mechanisms:
+            names = ", ".join(sorted(mechanisms))
             raise SettingsError(
                 f"unknown mechanism {label!r}; known mechanisms: {names}"
             )
-    return frozenset(known[label] for label in labels)
+    return frozenset(mechanisms[label] for label in labels)
--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -161,7 +161,7 @@
         self.evidence = {}
         self.views = {}
         self.placements = {}
-        self.by_host = {}
+        self.placements_by_host = {}
         self.cold_rates = ColdRates()
         self.remote_regions = RemoteRegions(
             region,
@@ -217,14 +217,14 @@
         server, no server is returned, since a second server could crash
         without any gain.
         """
-        at = {
+        suspects = {
             placement.server_id: placement.apart
             for placement in self.placements.values()
             if placement.apart
         }
-        if fingerprint in at.values():
+        if fingerprint in suspects.values():
             return []
-        return [view for view in views if view.server.entry.id not in at]
+        return [view for view in views if view.server.entry.id not in suspects]
 
     def margin(self, query):
         """Return the seconds by which a prediction must be early."""
@@ -240,8 +240,8 @@
         rotation, all substitute hosts sent their requests to one server when
         the placing host could not keep up.
         """
-        first = self.rng.randrange(len(views)) if views else 0
-        return views[first:] + views[:first]
+        start = self.rng.randrange(len(views)) if views else 0
+        return views[start:] + views[:start]
 
     def place_resumed(self, query, local, remote, now):
         """Place a stream that has begun on the first server to resume it.
@@ -272,29 +272,35 @@
         """
         best = NO_CANDIDATE
         demand = query.demand
-        known = [view.work.cached_prefix_tokens(demand) for view in views]
-        most = max(known, default=0)
-        holder = views[known.index(most)] if most else NOTHING
-        copying = most and Mechanism.COPIES not in self.disabled
-        inquiry = EstimateRequest(demand, urgency, now, most if copying else 0)
+        cached_tokens = [
+            view.work.cached_prefix_tokens(demand) for view in views
+        ]
+        most_cached = max(cached_tokens, default=0)
+        holder = (
+            views[cached_tokens.index(most_cached)] if most_cached else NOTHING
+        )
+        copying = most_cached and Mechanism.COPIES not in self.disabled
+        request = EstimateRequest(
+            demand, urgency, now, most_cached if copying else 0
+        )
         weight = (
             0.0 if Mechanism.ERRORS in self.disabled else ERROR_COST_SECONDS
         )
-        pairs = list(zip(views, known, strict=True))
+        pairs = list(zip(views, cached_tokens, strict=True))
         if holder is not NOTHING:
-            pairs.insert(0, (holder, most))
+            pairs.insert(0, (holder, most_cached))
         for view, tokens in pairs:
             errors = view.evidence.error_rate * weight
             limit = best.cost - errors
-            found = view.work.assess(inquiry, tokens, limit)
-            if found is NOTHING or found.cost >= limit:
+            estimate = view.work.estimate(request, tokens, limit)
+            if estimate is NOTHING or estimate.cost >= limit:
                 continue
             best = Candidate(
                 view.server,
-                found.predicted,
-                found.cost + errors,
-                found.copied,
-                holder.server.entry.address if found.copied else "",
+                estimate.predicted,
+                estimate.cost + errors,
+                estimate.copied,
+                holder.server.entry.address if estimate.copied else "",
             )
         return best
 
@@ -381,8 +387,8 @@
         local = self.best_candidate(servers, query, LATE_URGENCY, now)
         if local is NO_CANDIDATE:
             return self.refuse_unavailable(query, now)
-        of_use = local.predicted <= query.patience
-        if of_use and not self.late_limit_reached(local.target):
+        useful = local.predicted <= query.patience
+        if useful and not self.late_limit_reached(local.target):
             urgency = LATE_URGENCY
             return self.admit(query, local, urgency, now)
         return self.refuse(query, local.predicted, len(servers))
@@ -399,15 +405,15 @@
 
     def refuse_unavailable(self, query, now):
         """Return a `Refused` with the time until a server accepts requests."""
-        held = self.blocked_by_limits(query, now)
-        if not held:
+        blocked = self.blocked_by_limits(query, now)
+        if not blocked:
             refused = self.refuse(query, NO_SERVER_WAIT_SECONDS, 0)
             evidence = self.registry.who_left(query.service, self.region, now)
             return replace(refused, evidence=evidence)
-        most = MAX_RETRY_SECONDS * (
+        max_seconds = MAX_RETRY_SECONDS * (
             1.0 + RETRY_JITTER_FRACTION * self.rng.random()
         )
-        promise = self.limits.promise(query.service, held, now, most)
+        promise = self.limits.promise(query.service, blocked, now, max_seconds)
         evidence = self.limits.evidence(promise.server_id, now)
         seconds = promise.seconds
         return Refused(max(MIN_RETRY_SECONDS, seconds), seconds, 0, evidence)
@@ -428,11 +434,11 @@
 
     def refuse(self, query, predicted, servers):
         """Return a `Refused` with the time until capacity is expected."""
-        over = max(
+        seconds_over = max(
             MIN_RETRY_SECONDS,
             predicted - query.time_left * RETRY_TARGET_FRACTION,
         )
-        seconds = min(MAX_RETRY_SECONDS, over)
+        seconds = min(MAX_RETRY_SECONDS, seconds_over)
         spread = 1.0 + RETRY_JITTER_FRACTION * self.rng.random()
         return Refused(seconds * spread, predicted, servers)
 
@@ -455,7 +461,7 @@
             predicted=candidate.predicted,
             apart=query.apart,
         )
-        self.remote_regions.note_prefilled(entry.service, query.demand, now)
+        self.remote_regions.record_prefilled(entry.service, query.demand, now)
         self.drop(query.host, query.number, now)
         self.add_placement(placement)
         work.begin(placement, query.demand)
@@ -496,7 +502,7 @@
             Whether its server has become suspect through this attempt.
         """
         placed_here = self.drop(
-            host, number, now, whole=finding is Finding.ANSWERED
+            host, number, now, complete=finding is Finding.ANSWERED
         )
         if placed_here and finding in NOT_SENT:
             self.limits.give_back(server_id)
@@ -504,14 +510,14 @@
             return False
         return self.evidence_of(server_id).note(finding, now)
 
-    def drop(self, host, number, now, *, whole=False):
+    def drop(self, host, number, now, *, complete=False):
         """Remove one placement.
 
         Args:
             host: Host that runs the request.
             number: Its number.
             now: The time.
-            whole: Whether its answer is complete.
+            complete: Whether its answer is complete.
 
         Returns:
             Whether the placement existed.
@@ -522,19 +528,19 @@
         self.placements_of_host(host).pop(number, None)
         work = self.work.get(placement.server_id)
         if work is not None:
-            work.end(placement, now, whole=whole)
+            work.end(placement, now, complete=complete)
         return True
 
     def add_placement(self, placement):
         """Store the placement of a request."""
         self.placements[placement.host, placement.number] = placement
-        self.by_host.setdefault(placement.host, {})[placement.number] = (
-            placement
-        )
+        self.placements_by_host.setdefault(placement.host, {})[
+            placement.number
+        ] = placement
 
     def placements_of_host(self, host):
         """Return the placements of *host* by number."""
-        return self.by_host.get(host, {})
+        return self.placements_by_host.get(host, {})
 
     def retain_placements(self, host, numbers, now, *, older_than):
         """Remove the placements of *host* that it reports as ended.
@@ -553,11 +559,11 @@
     def adopt(self, placement, now):
         """Store a placement that another host has made."""
         key = placement.host, placement.number
-        known = self.placements.get(key)
-        if known is not None:
-            work = self.work.get(known.server_id)
-            if placement.started and not known.started and work is not None:
-                work.mark_started(known, now)
+        existing = self.placements.get(key)
+        if existing is not None:
+            work = self.work.get(existing.server_id)
+            if placement.started and not existing.started and work is not None:
+                work.mark_started(existing, now)
             return
         server = self.registry.servers.get(placement.server_id)
         if server is None:
@@ -589,8 +595,8 @@
 
     def sweep(self, now):
         """Remove servers that are gone, and placements past any timeout."""
-        known = self.registry.servers
-        for server_id in [one for one in self.work if one not in known]:
+        registered = self.registry.servers
+        for server_id in [one for one in self.work if one not in registered]:
             self.forget_server(server_id, now)
         for key, placement in list(self.placements.items()):
             if now - placement.placed_at > MAX_PLACEMENT_AGE_SECONDS:
@@ -647,7 +653,7 @@
         work = self.work.get(server.entry.id)
         service = self.service_of(server.entry.service)
         if work is None or not work.is_for(service.engine):
-            known = work
+            previous = work
             prefill_times = self.prefill_times_of(service.name)
             decode_times = self.decode_times_of(service.name)
             work = make_work(
@@ -658,8 +664,8 @@
                 disabled=self.disabled,
             )
             self.work[server.entry.id] = work
-            if known is not None:
-                for placement in known.placements.values():
+            if previous is not None:
+                for placement in previous.placements.values():
                     work.begin(placement, NOTHING)
         return work
 
--- a/src/hyssopspring/traffic/plainwork.py
+++ b/src/hyssopspring/traffic/plainwork.py
@@ -59,9 +59,9 @@
             self.occupancy()
         )
 
-    def assess(self, inquiry, known, limit):
+    def estimate(self, request, cached_prefix, limit):
         """Return the estimate of the server for a request."""
-        predicted = self.predict(inquiry.demand, inquiry.urgency, inquiry.now)
+        predicted = self.predict(request.demand, request.urgency, request.now)
         return Estimate(
             predicted, predicted + occupancy_cost(self.occupancy())
         )
@@ -80,7 +80,7 @@
         placement.started = True
         placement.started_at = now
 
-    def end(self, placement, now, *, whole=False):
+    def end(self, placement, now, *, complete=False):
         """Remove the placement of a request."""
         self.placements.pop((placement.host, placement.number), None)
 
--- a/src/hyssopspring/traffic/prefill.py
+++ b/src/hyssopspring/traffic/prefill.py
@@ -79,8 +79,8 @@
         """Learn from a prompt whose first event took *observed* seconds."""
         features = (1.0, uncached / TOKENS_UNIT, pairs / PAIRS_UNIT)
         expected = self.seconds(uncached, pairs)
-        most = max(MIN_CLIP_SECONDS, CLIP_FRACTION * expected)
-        error = min(most, max(-most, observed - expected))
+        max_error = max(MIN_CLIP_SECONDS, CLIP_FRACTION * expected)
+        error = min(max_error, max(-max_error, observed - expected))
         projection = [dot(row, features) for row in self.covariance]
         scale = NOISE_SECONDS**2 + dot(projection, features)
         gain = [one / scale for one in projection]
--- a/src/hyssopspring/traffic/regions.py
+++ b/src/hyssopspring/traffic/regions.py
@@ -120,14 +120,17 @@
     def cost(self, added):
         """Return the cost in seconds for the comparison of servers."""
         seconds_to_start = self.seconds_to_start(added)
-        answer = answer_cost(
+        answer_seconds = answer_cost(
             added.demand.tokens_out,
             self.token_seconds,
             added.demand.answer_within - seconds_to_start,
         )
-        again = added.seconds * PREFILL_COST_FACTOR
+        prefill_cost = added.seconds * PREFILL_COST_FACTOR
         return (
-            seconds_to_start + again + occupancy_cost(self.occupancy) + answer
+            seconds_to_start
+            + prefill_cost
+            + occupancy_cost(self.occupancy)
+            + answer_seconds
         )
 
     def add(self, added, slots):
@@ -158,13 +161,13 @@
     Attributes:
         slots: Requests that one server runs concurrently.
         servers: `EstimatedServer` of each server.
-        at: Time up to which the waits are reduced.
+        updated_at: Time up to which the waits are reduced.
         sent: Time and `AddedWork` of each recently sent request.
     """
 
     slots: int = 1
     servers: list = field(default_factory=list)
-    at: float = 0.0
+    updated_at: float = 0.0
     sent: deque = field(default_factory=deque)
 
     def apply_report(self, load, now):
@@ -179,7 +182,7 @@
             )
             for capacity in load.capacities
         ]
-        self.at = now
+        self.updated_at = now
         while self.sent and now - self.sent[0][0] > REPORT_LAG_SECONDS:
             self.sent.popleft()
         for _, added in self.sent:
@@ -192,11 +195,11 @@
             added: Work that the request adds.
             now: The time.
         """
-        passed = max(0.0, now - self.at)
-        self.at = max(self.at, now)
-        if passed:
+        elapsed = max(0.0, now - self.updated_at)
+        self.updated_at = max(self.updated_at, now)
+        if elapsed:
             for server in self.servers:
-                server.advance(passed)
+                server.advance(elapsed)
         return min(self.open_servers(), key=lambda one: one.cost(added))
 
     def open_servers(self):
@@ -229,11 +232,11 @@
     def __init__(self):
         self.times = OrderedDict()
 
-    def note(self, parts, now):
+    def add_parts(self, parts, now):
         """Record *parts* that are sent to the region."""
-        self.note_names([short_id(part) for part, _ in parts], now)
+        self.add_names([short_id(part) for part, _ in parts], now)
 
-    def note_names(self, names, now):
+    def add_names(self, names, now):
         """Record parts that were prefilled in the region, by short name."""
         for name in names:
             self.times[name] = now
@@ -243,13 +246,15 @@
 
     def uncached_tokens(self, demand, now):
         """Return the tokens of a prompt that must be prefilled there."""
-        known = 0
+        cached = 0
         for part, tokens in demand.parts:
-            at = self.times.get(short_id(part), -CACHED_PART_TTL_SECONDS)
-            if now - at >= CACHED_PART_TTL_SECONDS:
+            cached_at = self.times.get(
+                short_id(part), -CACHED_PART_TTL_SECONDS
+            )
+            if now - cached_at >= CACHED_PART_TTL_SECONDS:
                 break
-            known += tokens
-        return max(1, demand.tokens_in - known)
+            cached += tokens
+        return max(1, demand.tokens_in - cached)
 
 
 def unreported_load(slots, servers):
--- a/src/hyssopspring/traffic/remoteregions.py
+++ b/src/hyssopspring/traffic/remoteregions.py
@@ -85,10 +85,10 @@
             if not load.open_servers():
                 continue
             seconds = self.work_seconds(query, region, now)
-            least = INTER_REGION_SECONDS + seconds * (
+            min_cost = INTER_REGION_SECONDS + seconds * (
                 1.0 + PREFILL_COST_FACTOR
             )
-            if least >= min(limit, best.cost):
+            if min_cost >= min(limit, best.cost):
                 continue
             added = AddedWork(
                 seconds, rank_of(urgency_of(query)), query.demand
@@ -135,10 +135,12 @@
         rank = rank_of(urgency_of(query))
         load.count(AddedWork(seconds, rank, query.demand), now)
         if Mechanism.AFFINITY not in self.disabled:
-            self.cached_parts_of(remote.target).note(query.demand.parts, now)
+            self.cached_parts_of(remote.target).add_parts(
+                query.demand.parts, now
+            )
         return PlacedRemotely(remote.target, remote.predicted)
 
-    def note_prefilled(self, service, demand, now):
+    def record_prefilled(self, service, demand, now):
         """Record the shared parts that a server of this region will cache."""
         for part, tokens in demand.parts[:-1]:
             if tokens >= MIN_REPORTED_TOKENS:
@@ -153,8 +155,9 @@
         """Return the short names of the parts to report to other regions."""
         names = [
             name
-            for at, of, name in self.prefilled_parts
-            if of == service and now - at <= PART_REPORT_SECONDS
+            for prefilled_at, part_service, name in self.prefilled_parts
+            if part_service == service
+            and now - prefilled_at <= PART_REPORT_SECONDS
         ]
         return tuple(dict.fromkeys(reversed(names)))[:MAX_REPORTED_PARTS]
 
@@ -164,13 +167,13 @@
 
     def apply_load_report(self, region, loads, now):
         """Apply the load report of another region."""
-        known = self.remote_loads.setdefault(region, {})
-        for service in [one for one in known if one not in loads]:
-            del known[service]
+        current = self.remote_loads.setdefault(region, {})
+        for service in [one for one in current if one not in loads]:
+            del current[service]
         for service, load in loads.items():
-            known.setdefault(service, RemoteLoad()).apply_report(load, now)
+            current.setdefault(service, RemoteLoad()).apply_report(load, now)
             if Mechanism.AFFINITY not in self.disabled:
-                self.cached_parts_of(region).note_names(
+                self.cached_parts_of(region).add_names(
                     load.prefilled_parts, now
                 )
         self.reported_at[region] = now
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -85,7 +85,7 @@
     return costs
 
 
-def check_sums(placer):
+def check_cached_sums(placer):
     """Check what is kept against the requests in progress."""
     for work in placer.work.values():
         waiting = [one for one in work.placements.values() if one.waiting]
@@ -104,7 +104,7 @@
         assert_that(work.cached_tokens, Equals(sum(work.cached.values())))
         held = sum(one.tokens for one in work.placements.values())
         assert_that(work.held_tokens, Equals(held))
-    by_host = sum(len(one) for one in placer.by_host.values())
+    by_host = sum(len(one) for one in placer.placements_by_host.values())
     assert_that(by_host, Equals(len(placer.placements)))
 
 
@@ -136,7 +136,7 @@
         assert isinstance(decision, Placed)
         for _ in range(rng.randrange(5)):
             advance_one_request(placer, rng, now)
-        check_sums(placer)
+        check_cached_sums(placer)
 
 
 def advance_one_request(placer, rng, now):
--- a/tests/test_enginework.py
+++ b/tests/test_enginework.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture
-def put(engine):
+def place_prompt(engine):
     """Return a function that places a prompt at the engine."""
     numbers = iter(range(1, 1000))
 
@@ -49,54 +49,54 @@
     return place
 
 
-def test_an_urgent_prompt_waits_for_the_one_that_is_read(engine, put):
+def test_an_urgent_prompt_waits_for_the_one_that_is_read(engine, place_prompt):
     """An urgent caller waits for a second behind one long prompt.
 
     The engine has begun to read 40,000 tokens that are less urgent. It
     reads them to their end; the urgent prompt was predicted to begin in
     0.04 s, as if it could overtake.
     """
-    put(LONG, 6, 0.0)
+    place_prompt(LONG, 6, 0.0)
     alone = engine.idle_seconds(SHORT, SHORT.tokens_in)
     rest = engine.idle_seconds(LONG, LONG.tokens_in) - 0.2
     predicted = engine.predict(SHORT, 2, 0.2)
     assert_that(round(predicted, 6), Equals(round(rest + alone, 6)))
 
 
-def test_an_urgent_prompt_overtakes_those_that_only_wait(engine, put):
+def test_an_urgent_prompt_overtakes_those_that_only_wait(engine, place_prompt):
     """An urgent caller is refused for a queue that it would overtake."""
-    put(SHORT, 6, 0.0)
+    place_prompt(SHORT, 6, 0.0)
     before = engine.predict(SHORT, 2, 0.0)
-    put(LONG, 6, 0.0)
+    place_prompt(LONG, 6, 0.0)
     assert_that(engine.predict(SHORT, 2, 0.0), Equals(before))
     assert engine.predict(SHORT, 6, 0.0) > before + 0.5
 
 
-def test_the_most_urgent_of_those_that_wait_is_read_next(engine, put):
+def test_the_most_urgent_of_those_that_wait_is_read_next(engine, place_prompt):
     """Two prompts wait behind a third; the later one is more urgent."""
-    first = put(SHORT, 6, 0.0)
-    put(LONG, 6, 0.01)
-    urgent = put(SHORT, 2, 0.02)
+    first = place_prompt(SHORT, 6, 0.0)
+    place_prompt(LONG, 6, 0.01)
+    urgent = place_prompt(SHORT, 2, 0.02)
     engine.start(first, 0.05, 0.05)
     assert_that(engine.active_prefill, Is(urgent))
 
 
-def test_a_prompt_whose_answer_is_lost_holds_up_nobody(engine, put):
+def test_a_prompt_whose_answer_is_lost_holds_up_nobody(engine, place_prompt):
     """An engine seems busy until a caller gives up, and gets nothing.
 
     It has run a request and its answer is lost on the way. A prompt that
     came later begins, which shows that the former one was read.
     """
-    put(LONG, 2, 0.0)
-    later = put(SHORT, 2, 1.0)
+    place_prompt(LONG, 2, 0.0)
+    later = place_prompt(SHORT, 2, 1.0)
     engine.start(later, 0.3, 1.3)
     assert_that(engine.active_prefill, Is(NOTHING))
     assert_that(engine.prefill_wait(6, 1.3), Equals(0.0))
 
 
-def test_an_engine_that_stalls_looks_worse_with_time(engine, put):
+def test_an_engine_that_stalls_looks_worse_with_time(engine, place_prompt):
     """Requests go on to an engine from which nothing has come for long."""
-    put(SHORT, 2, 0.0)
+    place_prompt(SHORT, 2, 0.0)
     assert (
         engine.prefill_wait(2, 3.0)
         > engine.prefill_wait(2, 1.0)
@@ -104,11 +104,13 @@
     )
 
 
-def test_the_end_of_the_prompt_at_the_head_lets_others_go_on(engine, put):
+def test_the_end_of_the_prompt_at_the_head_lets_others_go_on(
+    engine, place_prompt
+):
     """A caller leaves while its prompt is read."""
-    left = put(LONG, 6, 0.0)
-    other = put(SHORT, 6, 0.1)
-    engine.end(left, 0.2)
+    cancelled = place_prompt(LONG, 6, 0.0)
+    other = place_prompt(SHORT, 6, 0.1)
+    engine.end(cancelled, 0.2)
     assert_that(engine.active_prefill, Is(other))
     engine.end(other, 0.3)
     assert_that(engine.active_prefill, Is(NOTHING))
@@ -127,7 +129,7 @@
     """
     prefill_times = PrefillTimes()
 
-    def met(tokens):
+    def true_seconds(tokens):
         pairs = attention_pairs(tokens, tokens)
         return fixed + by_token * tokens + by_pair * pairs
 
@@ -135,11 +137,17 @@
     for number, tokens in enumerate(lengths * 3):
         noise = 0.01 * (-1) ** number
         prefill_times.learn(
-            tokens, attention_pairs(tokens, tokens), met(tokens) + noise
+            tokens,
+            attention_pairs(tokens, tokens),
+            true_seconds(tokens) + noise,
         )
     for tokens in (800, 9_000, 25_000):
-        told = prefill_times.seconds(tokens, attention_pairs(tokens, tokens))
-        assert abs(told - met(tokens)) < 0.02 + 0.1 * met(tokens)
+        predicted = prefill_times.seconds(
+            tokens, attention_pairs(tokens, tokens)
+        )
+        assert abs(
+            predicted - true_seconds(tokens)
+        ) < 0.02 + 0.1 * true_seconds(tokens)
 
 
 def test_one_stalled_engine_does_not_spoil_what_is_known_of_all():
@@ -153,7 +161,9 @@
     assert after < before * 1.1
 
 
-def test_an_engine_that_reads_all_the_time_makes_answers_slowly(engine, put):
+def test_an_engine_that_reads_all_the_time_makes_answers_slowly(
+    engine, place_prompt
+):
     """Long answers are cut at their callers' deadline beside idle engines.
 
     Each step of the engine holds a chunk of a prompt and takes six times
@@ -162,7 +172,7 @@
     """
     idle = engine.token_time(0.0)
     for step in range(40):
-        placement = put(LONG, 6, step * 0.8)
+        placement = place_prompt(LONG, 6, step * 0.8)
         engine.start(placement, 0.8, (step + 1) * 0.8)
     assert engine.token_time(32.0) > 3 * idle
     assert engine.token_time(60.0) < 1.5 * idle
@@ -181,19 +191,19 @@
 
     Half of the engine's time goes to more urgent ones, which keep coming.
     """
-    shares = RankUtilization()
+    utilization = RankUtilization()
     for step in range(60):
-        shares.note(0, 0.05, step * 0.1)
-    assert 1.6 < shares.slowdown(2, 6.0) < 2.4
-    assert_that(shares.slowdown(0, 6.0), Equals(1.0))
-    assert shares.slowdown(2, 20.0) < 1.05
+        utilization.add(0, 0.05, step * 0.1)
+    assert 1.6 < utilization.slowdown(2, 6.0) < 2.4
+    assert_that(utilization.slowdown(0, 6.0), Equals(1.0))
+    assert utilization.slowdown(2, 20.0) < 1.05
 
 
 def test_the_part_of_the_time_with_reading_fades():
     """An engine that was busy once is avoided for good."""
     duty = DutyCycle()
-    duty.note(True, 0.0)
-    duty.note(False, 10.0)
+    duty.set_prefilling(True, 0.0)
+    duty.set_prefilling(False, 10.0)
     assert duty.recent > 0.9
     duty.advance(30.0)
     assert duty.recent < 0.01
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -365,8 +365,8 @@
     assert_that(
         placer.place(make_query(demand=big, **late), 0.0), IsInstance(Placed)
     )
-    told = placer.summarize(0.1)["engine"].prefilled_parts
-    assert_that(len(told), Equals(2))
+    reported = placer.summarize(0.1)["engine"].prefilled_parts
+    assert_that(len(reported), Equals(2))
     other = Demand(
         parts=(("s", 2520), ("u", 20_000), ("own", 690)),
         tokens_in=23_210,
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -15,10 +15,10 @@
 )
 from hyssopspring.traffic.work import Demand
 
-WORK = 0.3
+WORK_SECONDS = 0.3
 """Seconds of one request at an engine."""
 
-REQUEST = AddedWork(WORK, 0, Demand())
+REQUEST = AddedWork(WORK_SECONDS, 0, Demand())
 """An urgent request with that much work."""
 
 
@@ -44,7 +44,7 @@
     for _ in range(4):
         load.count(REQUEST, 0.0)
     waits = [server.waits[0] for server in load.servers]
-    assert_that(waits, Equals([WORK] * 4))
+    assert_that(waits, Equals([WORK_SECONDS] * 4))
 
 
 def test_what_was_sent_runs_down():
@@ -65,7 +65,7 @@
     load.apply_report(
         RegionLoad(48, (capacity(0.0, 0.0),)), REPORT_LAG_SECONDS / 2
     )
-    assert_that(load.servers[0].waits[0], Equals(WORK))
+    assert_that(load.servers[0].waits[0], Equals(WORK_SECONDS))
     load.apply_report(
         RegionLoad(48, (capacity(0.1, 0.0),)), REPORT_LAG_SECONDS * 2
     )
@@ -78,7 +78,7 @@
     demand = Demand(parts=(("shared", 600), ("own", 100)), tokens_in=700)
     sent = CachedParts()
     assert_that(sent.uncached_tokens(demand, 0.0), Equals(700))
-    sent.note(demand.parts[:1], 0.0)
+    sent.add_parts(demand.parts[:1], 0.0)
     assert_that(sent.uncached_tokens(demand, 1.0), Equals(100))
     assert_that(
         sent.uncached_tokens(demand, CACHED_PART_TTL_SECONDS), Equals(700)
@@ -95,7 +95,7 @@
     demand = Demand(
         parts=(("a", 500), ("b", 4000), ("own", 700)), tokens_in=5200
     )
-    parts.note_names([short_id("a"), short_id("b")], 1.0)
+    parts.add_names([short_id("a"), short_id("b")], 1.0)
     assert_that(parts.uncached_tokens(demand, 1.1), Equals(700))
     assert_that(
         parts.uncached_tokens(demand, 1.0 + CACHED_PART_TTL_SECONDS),
