--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -235,9 +235,9 @@
     def rotated(self, views):
         """Return the servers in an order with a random start.
 
-        Substitute hosts have little information on the load. To each of them
+        Fallback hosts have little information on the load. To each of them
         the same server looks best, the first of equal ones. Without the
-        rotation, all substitute hosts sent their requests to one server when
+        rotation, all fallback hosts sent their requests to one server when
         the placing host could not keep up.
         """
         start = self.rng.randrange(len(views)) if views else 0
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,7 +1,7 @@
-"""The choice among engines is the same as by looking at all of each.
+"""The choice among engines equals that of a full evaluation of each.
 
-What a choice needs is kept as requests come and go, and engines that
-cannot be the best are left out early. Both must change no decision.
+The sums that a choice needs are updated as requests start and end, and engines
+that cannot be the best are skipped early. Neither may change a decision.
 """
 
 import random
@@ -49,7 +49,7 @@
 
 
 def make_query(rng, number):
-    """Return a request with shared parts."""
+    """Return a query of a request with shared parts."""
     parts = (
         (f"a{rng.randrange(3)}", 1500),
         (f"b{rng.randrange(20)}", 2500),
@@ -71,7 +71,7 @@
 
 
 def costs_by_full_scan(placer, query, now):
-    """Return the identifier of the best engine, all of each looked at."""
+    """Return the cost and prediction of each engine by identifier."""
     urgency = urgency_of(query)
     views = placer.eligible_servers(query, now, True)
     demand = query.demand
@@ -86,7 +86,7 @@
 
 
 def check_cached_sums(placer):
-    """Check what is kept against the requests in progress."""
+    """Compare the cached sums to the requests in progress."""
     for work in placer.work.values():
         waiting = [one for one in work.placements.values() if one.waiting]
         assert_that(
@@ -109,11 +109,12 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_choice_is_that_of_the_whole_walk(placer, seed):
-    """Requests go to a busy engine beside an idle one.
+def test_the_choice_equals_that_of_a_full_scan(placer, seed):
+    """Guard against requests to a busy engine while another is idle.
 
-    Requests come, begin and end in any order; sums that are kept drift
-    away from the requests in progress, or a bound leaves out the best.
+    Requests are placed, started and ended in random order. The cached sums
+    could drift from the requests in progress, or a bound could skip the best
+    engine.
     """
     rng = random.Random(seed)
     now = 0.0
@@ -140,7 +141,7 @@
 
 
 def advance_one_request(placer, rng, now):
-    """Let one request begin, or end."""
+    """Start or end one request."""
     if not placer.placements:
         return
     key = rng.choice(list(placer.placements))
@@ -153,7 +154,7 @@
 
 
 def test_a_service_that_changes_is_looked_at_anew(placer):
-    """Requests go on to a server that has left, from a list that is kept."""
+    """Guard against requests to a removed server from a cached list."""
     query = make_query(random.Random(1), 1)
     first = placer.best_candidate(
         placer.eligible_servers(query, 0.0, True), query, 4, 0.0
--- a/tests/test_enginework.py
+++ b/tests/test_enginework.py
@@ -1,4 +1,4 @@
-"""The model of a model server, against what engines were seen to do."""
+"""The model of an inference engine, compared to observed behaviour."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def place_prompt(engine):
-    """Return a function that places a prompt at the engine."""
+    """Return a function that places a prompt on the engine."""
     numbers = iter(range(1, 1000))
 
     def place(demand, urgency, now):
@@ -50,11 +50,11 @@
 
 
 def test_an_urgent_prompt_waits_for_the_one_that_is_read(engine, place_prompt):
-    """An urgent caller waits for a second behind one long prompt.
+    """Guard against a wrong prediction behind a long prompt in prefill.
 
-    The engine has begun to read 40,000 tokens that are less urgent. It
-    reads them to their end; the urgent prompt was predicted to begin in
-    0.04 s, as if it could overtake.
+    The engine has begun to prefill 40,000 tokens that are less urgent, and
+    does so to their end. The urgent prompt was predicted to start in 0.04 s,
+    as if it could overtake, and its caller waited for a second.
     """
     place_prompt(LONG, 6, 0.0)
     alone = engine.idle_seconds(SHORT, SHORT.tokens_in)
@@ -64,7 +64,7 @@
 
 
 def test_an_urgent_prompt_overtakes_those_that_only_wait(engine, place_prompt):
-    """An urgent caller is refused for a queue that it would overtake."""
+    """Guard against refusing urgent requests for a queue they overtake."""
     place_prompt(SHORT, 6, 0.0)
     before = engine.predict(SHORT, 2, 0.0)
     place_prompt(LONG, 6, 0.0)
@@ -73,7 +73,7 @@
 
 
 def test_the_most_urgent_of_those_that_wait_is_read_next(engine, place_prompt):
-    """Two prompts wait behind a third; the later one is more urgent."""
+    """Of two prompts that wait, the later but more urgent one is next."""
     first = place_prompt(SHORT, 6, 0.0)
     place_prompt(LONG, 6, 0.01)
     urgent = place_prompt(SHORT, 2, 0.02)
@@ -82,10 +82,11 @@
 
 
 def test_a_prompt_whose_answer_is_lost_holds_up_nobody(engine, place_prompt):
-    """An engine seems busy until a caller gives up, and gets nothing.
+    """Guard against an engine that looks busy until a caller gives up.
 
-    It has run a request and its answer is lost on the way. A prompt that
-    came later begins, which shows that the former one was read.
+    The engine has run a request, but its answer was lost and the engine gets
+    no more requests. A prompt that arrived later starts, which shows that the
+    former one was prefilled.
     """
     place_prompt(LONG, 2, 0.0)
     later = place_prompt(SHORT, 2, 1.0)
@@ -95,7 +96,7 @@
 
 
 def test_an_engine_that_stalls_looks_worse_with_time(engine, place_prompt):
-    """Requests go on to an engine from which nothing has come for long."""
+    """Guard against requests to an engine that has long been silent."""
     place_prompt(SHORT, 2, 0.0)
     assert (
         engine.prefill_wait(2, 3.0)
@@ -107,7 +108,7 @@
 def test_the_end_of_the_prompt_at_the_head_lets_others_go_on(
     engine, place_prompt
 ):
-    """A caller leaves while its prompt is read."""
+    """The next prompt is in prefill when a caller disconnects."""
     cancelled = place_prompt(LONG, 6, 0.0)
     other = place_prompt(SHORT, 6, 0.1)
     engine.end(cancelled, 0.2)
@@ -121,11 +122,11 @@
     [(0.0083, 18.7e-6, 3.2e-10), (0.012, 26e-6, 6.5e-10), (0.02, 6e-5, 0.0)],
 )
 def test_the_time_of_reading_is_learned(fixed, by_token, by_pair):
-    """Predictions are off by half for as long as a deployment lives.
+    """Guard against predictions that are permanently wrong by half.
 
-    Figures of the first deployment's engines were constants. Here engines
-    of three kinds read two dozen prompts of lengths as on the users'
-    sheets, each off by up to 10 ms.
+    Fixed constants fit only the engines of the first deployment. Here engines
+    of three kinds prefill two dozen prompts of lengths as on the users'
+    sheets, each with an error of up to 10 ms.
     """
     prefill_times = PrefillTimes()
 
@@ -151,7 +152,10 @@
 
 
 def test_one_stalled_engine_does_not_spoil_what_is_known_of_all():
-    """All engines look slow, and all callers are refused, for one."""
+    """Guard against refusing all callers because of one stalled engine.
+
+    Its observation would make all engines of the service look slow.
+    """
     prefill_times = PrefillTimes()
     for _ in range(20):
         prefill_times.learn(9_000, attention_pairs(9_000, 9_000), 0.2)
@@ -164,11 +168,11 @@
 def test_an_engine_that_reads_all_the_time_makes_answers_slowly(
     engine, place_prompt
 ):
-    """Long answers are cut at their callers' deadline beside idle engines.
+    """Guard against aborting long answers while other engines are idle.
 
-    Each step of the engine holds a chunk of a prompt and takes six times
-    as long. A request with 900 tokens of answer began within 0.1 s there,
-    and needed 20 s to its end.
+    Each step of the engine contains a chunk of a prompt and takes six times as
+    long. A request with 900 tokens of answer started within 0.1 s there, but
+    needed 20 s to its end, which exceeds its caller's deadline.
     """
     idle = engine.token_time(0.0)
     for step in range(40):
@@ -179,17 +183,18 @@
 
 
 def test_an_answer_that_may_be_cut_costs_more_than_the_way_elsewhere():
-    """The way to another region is 0.2 s; a cut answer is all lost."""
+    """The latency to another region is 0.2 s; an aborted answer is lost."""
     slow = answer_cost(900, 0.02, 9.5)
     quick = answer_cost(900, 0.006, 9.5)
     assert slow - quick > 0.5
     assert answer_cost(24, 0.03, 9.5) - answer_cost(24, 0.006, 9.5) < 0.1
 
 
-def test_who_waits_counts_on_those_who_will_overtake():
-    """Long prompts begin late although predicted in time.
+def test_a_wait_includes_prompts_that_will_overtake():
+    """Guard against long prompts that start late although predicted in time.
 
-    Half of the engine's time goes to more urgent ones, which keep coming.
+    Half of the engine's time is used by more urgent prompts, which continue to
+    arrive.
     """
     utilization = RankUtilization()
     for step in range(60):
@@ -200,7 +205,7 @@
 
 
 def test_the_part_of_the_time_with_reading_fades():
-    """An engine that was busy once is avoided for good."""
+    """Guard against avoiding an engine permanently that was busy once."""
     duty = DutyCycle()
     duty.set_prefilling(True, 0.0)
     duty.set_prefilling(False, 10.0)
--- a/tests/test_margins.py
+++ b/tests/test_margins.py
@@ -1,4 +1,4 @@
-"""The margin by which predictions must be in time."""
+"""The safety margin of predictions."""
 
 import random
 
@@ -15,10 +15,10 @@
 
 
 def test_the_margin_covers_most_errors():
-    """Callers are admitted just in time and begin too late.
+    """Guard against requests that are admitted but start too late.
 
-    Predictions are exceeded by up to 0.1 s, evenly spread; the margin must
-    come near the value that covers all but a few of them, and stay there.
+    Predictions are exceeded by up to 0.1 s, uniformly distributed. The margin
+    must come near the value that covers all but a few of them, and stay there.
     """
     rng = random.Random(1)
     margin = Margin()
@@ -27,8 +27,8 @@
     assert abs(margin.seconds - COVERED_FRACTION * 0.1) < 0.02
 
 
-def test_calm_times_need_no_margin():
-    """Callers are refused although engines are idle."""
+def test_the_margin_vanishes_at_low_load():
+    """Guard against refusing callers while engines are idle."""
     margin = Margin(seconds=MAX_MARGIN_SECONDS)
     for _ in range(OBSERVATIONS):
         margin.learn(0.5, 0.45)
@@ -36,7 +36,10 @@
 
 
 def test_a_stalled_engine_does_not_refuse_all():
-    """One engine that stalls for minutes makes the margin grow for good."""
+    """Guard against a margin that grows without bound.
+
+    One engine stalls for minutes.
+    """
     margin = Margin()
     for _ in range(OBSERVATIONS):
         margin.learn(0.1, 60.0)
--- a/tests/test_mechanisms.py
+++ b/tests/test_mechanisms.py
@@ -1,4 +1,4 @@
-"""Switching parts of the policy off, to measure their worth."""
+"""Disabling mechanisms of the policy for ablation tests."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -9,13 +9,16 @@
 
 
 def test_labels_name_mechanisms():
-    """All is on unless a setting names what is off."""
+    """All mechanisms are enabled unless a setting names them."""
     assert_that(parse_disabled(""), Equals(frozenset()))
     expected = frozenset({Mechanism.HEAD, Mechanism.COPIES})
     assert_that(parse_disabled("head, copies"), Equals(expected))
 
 
 def test_an_unknown_label_is_refused():
-    """A table shows that a mechanism is worth nothing, for a typing error."""
+    """Guard against a typing error that disables nothing.
+
+    An ablation table would show that the mechanism has no effect.
+    """
     with pytest.raises(SettingsError, match="haed"):
         parse_disabled("haed")
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -34,7 +34,7 @@
     tokens_in=9190,
     tokens_out=50,
 )
-"""Lengths of a policy review on the first users' sheet."""
+"""Lengths of a policy review on the first users' sheet, in tokens."""
 
 
 @pytest.fixture
@@ -92,14 +92,18 @@
 
 
 def report_load(placer, region, now=0.0, *, servers=2, wait=0.0):
-    """Let *region* report its load."""
+    """Apply a load report of *region* to the placer."""
     capacities = (ServerCapacity((wait,) * 3, 0.1),) * servers
     loads = {name: RegionLoad(20, capacities) for name in SERVICES}
     placer.apply_load_report(region, loads, now)
 
 
 def test_a_prompt_goes_where_its_parts_are_cached(placer, make_query):
-    """Parts that were read a moment ago are not read again elsewhere."""
+    """Guard against parts that are prefilled again on another server.
+
+    A second request with the same parts goes to the server that has just
+    prefilled them.
+    """
     first = placer.place(make_query(), 0.0)
     placer.note_start("h1", 1, 0.3, 0.3)
     second = placer.place(make_query(), 0.5)
@@ -108,7 +112,7 @@
 
 
 def test_affinity_gives_way_to_load(placer, make_query):
-    """A popular subject must not pile up on one engine beside an idle one."""
+    """Guard against a popular subject overloading one of two engines."""
     demands = [
         Demand(
             parts=(*REVIEW.parts[:2], (f"own-{n}", 2890)),
@@ -125,11 +129,11 @@
 def test_a_peak_goes_to_regions_with_room_and_the_rest_is_refused(
     placer, make_query
 ):
-    """Callers wait for seconds in one region while others are idle.
+    """Guard against waits of seconds while other regions are idle.
 
-    A peak arrives at once. What the region can begin in time stays, what
-    others can begin in time goes there, and what nobody can begin in time
-    is refused at once with a time to come back.
+    Of requests that arrive all at once, those stay that the region can start
+    in time, and those go to other regions that can be started in time there.
+    The rest is refused at once with a time to retry.
     """
     report_load(placer, "south")
     demands = [
@@ -149,11 +153,11 @@
 
 
 def test_a_stream_that_has_begun_goes_on_although_late(placer, make_query):
-    """A caller's quote is cut in the middle while servers are busy.
+    """Guard against aborting a stream while the servers are busy.
 
-    Its server has failed and another is to go on with it. Nobody can do so
-    within the objective, and a new request would be refused; this one's
-    caller has read half of the answer and still waits.
+    The server of a stream has failed and another server has to resume it. No
+    server can do so within the objective, and a new request would be refused.
+    The caller of this one has received half of the answer and still waits.
     """
     while not isinstance(placer.place(make_query(), 0.0), Refused):
         pass
@@ -163,10 +167,10 @@
 
 
 def test_no_request_leaves_its_homes(placer, make_query):
-    """A bound request reaches a region where its data must not be.
+    """Guard against a bound request reaching a region outside its homes.
 
-    Its own region has no server left. The only other home has refused it,
-    and a third region, which is no home, is idle.
+    Its own region has no server left, the only other home region has refused
+    it, and a third region, which is no home region, is idle.
     """
     report_load(placer, "south")
     report_load(placer, "west")
@@ -181,7 +185,10 @@
 
 
 def test_a_region_that_is_no_home_places_nothing(placer, make_query):
-    """A caller's host stands in a region that must not serve it."""
+    """Guard against serving a request in a region that must not serve it.
+
+    The caller is connected to a host of such a region.
+    """
     report_load(placer, "south")
     decision = placer.place(make_query(regions=frozenset({"south"})), 0.0)
     assert_that(decision, IsInstance(PlacedRemotely))
@@ -191,10 +198,10 @@
 def test_a_region_that_has_not_reported_its_load_may_be_used(
     placer, make_query
 ):
-    """A host that has just started refuses what others could serve.
+    """Guard against a new host refusing what other regions could serve.
 
-    It hears hosts of other regions, but their load reports have not come
-    yet; its own region lacks a server for the request.
+    The host sees hosts of other regions, but has not received their load
+    reports yet. Its own region has no server for the request.
     """
     placer.registry.put(
         ServerEntry(
@@ -211,7 +218,7 @@
 
 
 def test_a_region_that_reports_no_server_gets_nothing(placer, make_query):
-    """Requests follow a region whose servers have just crashed."""
+    """Guard against requests to a region whose servers have crashed."""
     placer.apply_load_report("south", {}, 0.0)
     placer.apply_load_report("west", {}, 0.0)
     decision = placer.place(make_query(excluded=("e1", "e2")), 0.0)
@@ -221,7 +228,7 @@
 def test_a_cold_server_gets_its_share_and_no_more(
     placer, registry, make_query
 ):
-    """Two engines come back cold and all requests fall on them at once."""
+    """Guard against all requests going to two engines that restart cold."""
     for name in ("e1", "e2"):
         registry.put(
             ServerEntry(
@@ -239,10 +246,13 @@
     assert all(one.at_once for one in sent)
 
 
-def test_a_host_that_stands_in_sends_nothing_to_cold_servers(
+def test_a_fallback_host_sends_nothing_to_cold_servers(
     placer, registry, make_query
 ):
-    """The placing host is silent and each host decides by itself."""
+    """Guard against several hosts that each load a cold server.
+
+    The placing host does not answer, and each host decides by itself.
+    """
     registry.put(
         ServerEntry(
             id="e1",
@@ -263,7 +273,7 @@
 def test_an_unreachable_server_is_tried_by_one_request_at_a_time(
     placer, make_query
 ):
-    """Each request loses time at a server that does not answer."""
+    """Guard against many requests losing time at an unreachable server."""
     placer.note_end("h1", 0, "p1", Finding.UNREACHED, 0.0)
     early = {
         placer.place(make_query("plain"), 0.1).server_id for _ in range(5)
@@ -276,10 +286,10 @@
 
 
 def test_a_slow_server_that_answers_others_is_not_paused(placer, make_query):
-    """One slow answer empties the only server of a region.
+    """Guard against one slow answer pausing the only server of a region.
 
-    A request was given up since the server had not begun; the server
-    answers others all the while.
+    A request was given up because the server had not started it, while the
+    server answers other requests.
     """
     placer.place(make_query("plain"), 0.0)
     placement = next(iter(placer.placements.values()))
@@ -292,10 +302,10 @@
 
 
 def test_memory_of_an_engine_is_not_overfilled(placer, make_query):
-    """Streams stand still midway, since the engine drops some of them.
+    """Guard against streams that stall because an engine preempts them.
 
-    Its memory ran out. A request that does not fit has to wait for the
-    ends of others, and so goes elsewhere or is refused.
+    The engine ran out of memory. A request that does not fit has to wait until
+    others end, and so is placed elsewhere or refused.
     """
     big = Demand(parts=(), tokens_in=60_000, tokens_out=50)
     patient = {"time_left": 60.0, "patience": 60.0}
@@ -307,7 +317,10 @@
 
 
 def test_a_lost_end_message_does_not_load_a_server_forever(placer, make_query):
-    """A server gets nothing for long, since its last ends were not heard."""
+    """Guard against a server that gets no requests due to lost messages.
+
+    The messages that report the end of its last requests were lost.
+    """
     placer.place(make_query("plain"), 0.0)
     number = next(iter(placer.placements))[1]
     placer.retain_placements("h1", set(), 0.5, older_than=0.7)
@@ -319,7 +332,10 @@
 
 
 def test_work_of_a_lost_host_is_forgotten(placer, make_query):
-    """A host is killed; its requests have ended at their servers."""
+    """Guard against load that remains after its host was killed.
+
+    The requests of the host have ended at their servers.
+    """
     placer.place(make_query("plain"), 0.0)
     placer.forget_host("h1", 5.0)
     assert_that(placer.work["p1"].placements, Equals({}))
@@ -329,10 +345,10 @@
 def test_a_server_that_starts_again_has_no_work_and_no_cache(
     placer, make_query
 ):
-    """All requests of a region go to the engine that has just started.
+    """Guard against all requests going to an engine that has restarted.
 
-    It has the identifier of the former one, whose cached parts made it
-    look cheap, and whose failures must not count against it either.
+    It has the identifier of the former process, whose cached parts lowered its
+    cost. The failures of the former process must not count either.
     """
     first = placer.place(make_query(), 0.0)
     placer.note_end("h1", 99, first.server_id, Finding.UNREACHED, 0.1)
@@ -350,10 +366,11 @@
 def test_a_prompt_goes_to_the_region_that_has_read_its_parts(
     placer, make_query
 ):
-    """Each region reads the same subjects of thousands of tokens again.
+    """Guard against the same long subjects being prefilled in each region.
 
-    The other region tells that it has read this one. The way there costs
-    less than to read 9,000 tokens before all who wait here.
+    The other region reports that it has prefilled this one. The latency to it
+    costs less than prefilling 9,000 tokens before all requests that wait in
+    this region.
     """
     big = Demand(
         parts=(("s", 2520), ("t", 20_000), ("own", 690)),
@@ -397,11 +414,11 @@
 def test_parts_are_copied_from_the_server_that_has_read_them(
     placer, make_query
 ):
-    """Engines read the same shared parts again beside one that has them.
+    """Guard against a second prefill of parts that another engine cached.
 
-    A subject is popular and its engine is busy, so the next request goes
-    to the idle engine. Copying 6,300 tokens takes 15 ms there, reading
-    them 0.18 s.
+    A subject is popular and its engine is busy, so the next request goes to
+    the idle engine. Copying 6,300 tokens takes 15 ms there, prefilling them
+    0.18 s.
     """
     placer.service_of = {"engine": COPYING, "plain": PLAIN}.get
     first = placer.place(make_query(), 0.0)
@@ -423,7 +440,7 @@
 
 
 def test_engines_that_cannot_copy_are_not_asked_to(placer, make_query):
-    """A server that cannot copy would be asked for what it does not know."""
+    """Guard against copy requests to engines that do not support them."""
     decisions = [placer.place(make_query(), 0.0) for _ in range(4)]
     assert not any(one.copy_from for one in decisions)
 
@@ -431,11 +448,11 @@
 def test_an_engine_known_before_the_configuration_is_an_engine(
     placer, make_query
 ):
-    """A few engines take all requests after every host was restarted.
+    """Guard against all requests going to a few engines after a restart.
 
-    A host hears of servers before it has read the configuration, and takes
-    the engines for plain services. A plain service is predicted to answer
-    in 0.06 s, so these engines look idle from then on.
+    A host learns of servers before it has read the configuration, and takes
+    the engines for plain services. The predicted time of a plain service is
+    0.06 s, so these engines would look idle from then on.
     """
     known = placer.service_of
     placer.service_of = lambda name: Service(name=name)
@@ -452,10 +469,10 @@
 def test_the_memory_in_use_is_the_sum_of_what_is_in_progress(
     placer, make_query
 ):
-    """An engine looks full, or empty, for as long as it lives.
+    """Guard against an engine that permanently looks full, or empty.
 
-    The tokens in use are counted up and down with each request; an end
-    that is heard twice or not at all must not leave a trace in the count.
+    The tokens in use are counted up and down with each request. An end that is
+    reported twice or not at all must not change the count permanently.
     """
     for number in range(1, 9):
         placer.place(make_query(), number * 0.1)
@@ -473,13 +490,11 @@
     assert_that({one.held_tokens for one in placer.work.values()}, Equals({0}))
 
 
-def test_hosts_that_stand_in_do_not_choose_the_same_server(
-    make_query, registry
-):
-    """One engine gets the requests of all hosts, the one beside it none.
+def test_fallback_hosts_do_not_choose_the_same_server(make_query, registry):
+    """Guard against one of two engines getting the requests of all hosts.
 
-    The placing host is silent, so each host decides for itself. None of
-    them has placed anything yet, and all engines look alike.
+    The placing host does not answer, so each host decides by itself. None of
+    them has placed a request yet, and all engines look alike.
     """
     chosen = set()
     for seed in range(8):
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""What a region believes of the servers of others, between reports."""
+"""Estimated load of the servers of other regions between reports."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
@@ -16,29 +16,30 @@
 from hyssopspring.traffic.work import Demand
 
 WORK_SECONDS = 0.3
-"""Seconds of one request at an engine."""
+"""Seconds of work of one request on an engine."""
 
 REQUEST = AddedWork(WORK_SECONDS, 0, Demand())
 """An urgent request with that much work."""
 
 
 def capacity(wait, occupancy):
-    """Return a `ServerCapacity` in which requests of all ranks wait alike."""
+    """Return a `ServerCapacity` in which all ranks wait equally long."""
     return ServerCapacity((wait,) * 3, occupancy)
 
 
 def reported(*rooms, slots=48, now=0.0):
-    """Return a `RemoteLoad` that has just heard of *rooms*."""
+    """Return a `RemoteLoad` that has just received *capacities*."""
     load = RemoteLoad()
     load.apply_report(RegionLoad(slots, tuple(rooms)), now)
     return load
 
 
 def test_a_peak_is_spread_over_all_reported_servers():
-    """Half of the peak is kept at home although another region is idle.
+    """Guard against keeping half of a peak while another region is idle.
 
-    A region counts what it sends between two reports. Counted against the
-    region as a whole its best server seems to fill alone.
+    A region counts the requests that it sends between two reports. If they
+    were counted for the region as a whole, its best server would seem to fill
+    up while the others stay idle.
     """
     load = reported(*[capacity(0.0, 0.0)] * 4)
     for _ in range(4):
@@ -48,17 +49,17 @@
 
 
 def test_what_was_sent_runs_down():
-    """Work that was sent a while ago no longer keeps requests away."""
+    """Guard against work sent a while ago that still repels requests."""
     load = reported(capacity(0.5, 0.2))
     assert_that(load.best(REQUEST, 0.2).waits[0], Equals(0.3))
     assert_that(load.best(REQUEST, 2.0).waits[0], Equals(0.0))
 
 
 def test_a_report_does_not_hide_what_is_on_its_way():
-    """A region is sent twice what it can take, after each report.
+    """Guard against sending a region twice its capacity after a report.
 
-    A report left before the last requests arrived there. Taken as it is,
-    it would offer the same room again.
+    A report was sent before the last requests arrived there. Applied as it is,
+    it would offer the same capacity again.
     """
     load = reported(capacity(0.0, 0.0))
     load.count(REQUEST, 0.0)
@@ -74,7 +75,7 @@
 
 
 def test_parts_that_were_sent_are_known_for_a_while():
-    """The same shared parts are read in two regions by turns."""
+    """Guard against alternating prefills of the same parts in two regions."""
     demand = Demand(parts=(("shared", 600), ("own", 100)), tokens_in=700)
     sent = CachedParts()
     assert_that(sent.uncached_tokens(demand, 0.0), Equals(700))
@@ -86,10 +87,10 @@
 
 
 def test_parts_that_a_region_has_read_count_as_cached_there():
-    """Two regions read the same subject within seconds of each other.
+    """Guard against two regions that prefill a subject within seconds.
 
-    The other region has read the parts for its own callers and tells so;
-    what it told eight seconds ago may be gone.
+    The other region has prefilled the parts for its own callers and reports
+    them. Parts reported eight seconds ago may have been evicted.
     """
     parts = CachedParts()
     demand = Demand(
