--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -246,9 +246,9 @@
     def place_resumed(self, query, local, remote, now):
         """Place a started stream where it is predicted to resume first.
 
-        The caller holds a part of the answer. A refusal would abort the stream
-        and waste the part already produced, while the caller still accepts an
-        event that comes late.
+        The caller holds a part of the answer. A refusal would truncate the
+        stream and waste the part already produced, while the caller still
+        accepts an event that comes late.
         """
         if min(local.predicted, remote.predicted) > query.patience:
             return self.refuse(query, NO_SERVER_WAIT_SECONDS, 0)
--- a/src/hyssopspring/traffic/work.py
+++ b/src/hyssopspring/traffic/work.py
@@ -48,13 +48,13 @@
 ANSWER_COST_FACTOR = 0.05
 """Weight of the time of a whole answer in the cost of a server. A server that
 prefills prompts all the time produces a long answer six times as slowly, and
-an answer that takes too long is aborted at its caller's deadline."""
+an answer that takes too long is truncated at its caller's deadline."""
 
 SAFE_DEADLINE_FRACTION = 0.6
 """Fraction of the allowed time within which an answer is sure to end in time.
 Callers' estimates of its length are often wrong by half."""
 
-CUT_ANSWER_COST_SECONDS = 1.5
+TRUNCATED_ANSWER_COST_SECONDS = 1.5
 """Seconds of cost for an answer that takes twice the safe part of the allowed
 time, proportionally less for a shorter one. This is also the maximum."""
 
@@ -74,7 +74,8 @@
     seconds = tokens * token_seconds
     over = max(0.0, seconds / max(allowed * SAFE_DEADLINE_FRACTION, 0.1) - 1.0)
     return (
-        seconds * ANSWER_COST_FACTOR + min(1.0, over) * CUT_ANSWER_COST_SECONDS
+        seconds * ANSWER_COST_FACTOR
+        + min(1.0, over) * TRUNCATED_ANSWER_COST_SECONDS
     )
 
 
--- a/tests/test_enginework.py
+++ b/tests/test_enginework.py
@@ -168,7 +168,7 @@
 def test_an_engine_that_reads_all_the_time_makes_answers_slowly(
     engine, place_prompt
 ):
-    """Guard against aborting long answers while other engines are idle.
+    """Guard against truncated long answers while other engines are idle.
 
     Each step of the engine contains a chunk of a prompt and takes six times as
     long. A request with 900 tokens of answer started within 0.1 s there, but
@@ -183,7 +183,7 @@
 
 
 def test_an_answer_that_may_be_cut_costs_more_than_the_way_elsewhere():
-    """The latency to another region is 0.2 s; an aborted answer is lost."""
+    """The latency to another region is 0.2 s; a truncated answer is lost."""
     slow = answer_cost(900, 0.02, 9.5)
     quick = answer_cost(900, 0.006, 9.5)
     assert slow - quick > 0.5
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -153,7 +153,7 @@
 
 
 def test_a_stream_that_has_begun_goes_on_although_late(placer, make_query):
-    """Guard against aborting a stream while the servers are busy.
+    """Guard against truncating a stream while the servers are busy.
 
     The server of a stream has failed and another server has to resume it. No
     server can do so within the objective, and a new request would be refused.
