--- a/src/hyssopspring/traffic/work.py
+++ b/src/hyssopspring/traffic/work.py
@@ -24,7 +24,7 @@
 
 CROWDING_COST_SECONDS = 1.2
 """Seconds of cost for an occupancy of 1.0 above `CROWDED_OCCUPANCY`. A full
-server so costs 0.36 s more, which is about the latency to another region and
+server thus costs 0.36 s more, which is about the latency to another region and
 the prefill of the shared parts there."""
 
 
