--- a/src/hyssopspring/traffic/work.py
+++ b/src/hyssopspring/traffic/work.py
@@ -19,8 +19,8 @@
 
 CROWDED_OCCUPANCY = 0.7
 """Occupancy of a server from which on each further request costs much more.
-Requests beyond it must wait for others to end in any order, and the less
-urgent ones are overtaken or preempted midway."""
+The next requests must wait for others to end, regardless of the order in which
+they arrive, and the less urgent ones are overtaken or preempted midway."""
 
 CROWDING_COST_SECONDS = 1.2
 """Seconds of cost for an occupancy of 1.0 above `CROWDED_OCCUPANCY`. A full
