--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -6,7 +6,7 @@
 from hyssopspring.entry.crashsharing import row_of
 from hyssopspring.entry.endings import fingerprint_of
 from hyssopspring.entry.messages import Suspects, encode_message
-from hyssopspring.traffic.crashes import Crashes, End, Suspect
+from hyssopspring.traffic.crashes import CrashTracker, ServerCrash, Suspect
 
 HOST = "front-dar-kariakoo-1"
 CALLER = "100.64.0.7"
@@ -23,12 +23,12 @@
 
 def filled(count):
     """Return a host's knowledge of *count* requests, one in 20 blocked."""
-    crashes = Crashes()
+    crashes = CrashTracker()
     for number in range(count):
         first = number // NEAR_ONE_SERVER * 3
         for one in range(1 if number % 20 else 3):
-            end = End(server(first + one), 0.0, HOST, CALLER)
-            crashes.note_end(f"{number:032}", end, 0.0)
+            end = ServerCrash(server(first + one), 0.0, HOST, CALLER)
+            crashes.record_crash(f"{number:032}", end, 0.0)
     return crashes
 
 
@@ -36,8 +36,8 @@
     """Return the bytes of the message on a request with *ends* ends."""
     suspect = Suspect("f" * 32)
     for number in range(ends):
-        end = End(server(number), 0.0, HOST, CALLER)
-        suspect.ends[end.server] = end
+        end = ServerCrash(server(number), 0.0, HOST, CALLER)
+        suspect.crashes[end.server] = end
     return len(encode_message(Suspects(HOST, [row_of(suspect, 9.0)])))
 
 
@@ -54,7 +54,7 @@
         crashes = filled(count)
         last = f"{count - 1:032}"
         verdict = best(lambda c=crashes, f=last: c.verdict(f, CALLER, 9.0))
-        judge = best(lambda c=crashes: c.judge(0.1), LOOKS)
+        judge = best(lambda c=crashes: c.block_causes(0.1), LOOKS)
         expire = best(lambda c=crashes: c.expire(1.0), LOOKS)
         print(
             f"{count} requests known: verdict {verdict:.1f} us, "
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -13,7 +13,7 @@
     encode_message,
 )
 from hyssopspring.traffic.decisions import Ask
-from hyssopspring.traffic.members import Member, Members, Report
+from hyssopspring.traffic.members import Member, Members, Subscription
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
 from hyssopspring.traffic.servers import Registry, ServerEntry
@@ -57,7 +57,7 @@
         0.4,
         7,
         (500, 510),
-        Report.ROSTERS,
+        Subscription.ROSTERS,
         rows,
     )
 
@@ -141,9 +141,9 @@
     for hosts in (3, 20, 90):
         members = Members(make_member(0))
         for n in range(1, hosts):
-            members.learn(make_member(n))
+            members.add(make_member(n))
         for member in members.others.values():
-            member.heard_at = 1.0
+            member.last_heartbeat_at = 1.0
         spent = best(lambda members=members: members.placers(1.1), 200)
         print(f"rank {hosts} hosts: {spent:.0f} us")
 
--- a/src/hyssopspring/entry/asking.py
+++ b/src/hyssopspring/entry/asking.py
@@ -8,7 +8,7 @@
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
 from ..traffic.decisions import Ask, Away, Limited, Placed, Refused
-from ..traffic.evidence import Finding
+from ..traffic.serverhealth import AttemptResult
 from ..traffic.servers import Usability
 from ..traffic.work import Demand
 from .limiting import LATELY
@@ -95,7 +95,7 @@
             counts while the host is suspended.
         timeline: The `Timeline`.
         limiting: The `Limiting`.
-        rests: The `Rests` that servers asked this host for.
+        rests: The `RetryAfterPauses` that servers asked this host for.
         guarded: Called with work whose unexpected failure is logged.
     """
 
@@ -152,7 +152,7 @@
 
     def without_resting(self, ask):
         """Return an `Ask` that leaves out the servers at rest."""
-        resting = self.rests.closed(self.clock.seconds())
+        resting = self.rests.blocked(self.clock.seconds())
         if not resting:
             return ask
         return replace(ask, excluded=(*ask.excluded, *resting))
@@ -171,12 +171,12 @@
         now = self.clock.seconds()
         return replace(
             decision,
-            retry_after=self.rests.wait(rest, now),
-            evidence=rest.evidence(now),
+            retry_after=self.rests.retry_delay(rest, now),
+            evidence=rest.describe(now),
         )
 
     def first_back(self, service, excluded=()):
-        """Return the `Rest` that ends first if all servers rest.
+        """Return the `RetryAfterPause` that ends first if all servers rest.
 
         Args:
             service: The service.
@@ -193,9 +193,9 @@
         ids = [
             one
             for one in known
-            if one not in excluded or self.rests.is_closed(one, now)
+            if one not in excluded or self.rests.is_blocked(one, now)
         ]
-        return self.rests.first_back(ids, now)
+        return self.rests.first_to_end(ids, now)
 
     def refused_retry_after(self, service, usual):
         """Return when a caller may come back whom a server turned away.
@@ -207,7 +207,7 @@
         rest = self.first_back(service)
         if rest is NOTHING:
             return usual
-        return self.rests.wait(rest, self.clock.seconds())
+        return self.rests.retry_delay(rest, self.clock.seconds())
 
     async def decision_for(self, number, ask):
         """Return the decision of the first host that answers, or the own."""
@@ -257,7 +257,7 @@
         """
         if isinstance(decision, Placed):
             self.work[number] = OpenWork(decision, ask.demand, placer)
-            self.rests.count(decision.server_id, self.clock.seconds())
+            self.rests.record_sent(decision.server_id, self.clock.seconds())
         elif isinstance(decision, Away) and ask.cost:
             self.sent_away[number] = placer
 
@@ -276,7 +276,7 @@
         usability = self.registry.usability(decision.server_id, now)
         if usability is Usability.LEAVING:
             return False
-        return not self.rests.is_closed(decision.server_id, now)
+        return not self.rests.is_blocked(decision.server_id, now)
 
     def ask_other(self, member, ask, *, second=False):
         """Ask another host; return a deferred of the decision.
@@ -339,7 +339,9 @@
 
     def decline(self, number, server_id, member):
         """Tell the host that placed a request that it is not sent."""
-        end = EndMessage(self.host, number, server_id, int(Finding.UNUSED))
+        end = EndMessage(
+            self.host, number, server_id, int(AttemptResult.UNUSED)
+        )
         self.datagrams.send(end, member.control)
 
     def take_question(self, message, member):
@@ -399,7 +401,7 @@
 
     def note_end(self, number, finding):
         """Tell that an attempt has ended, or that a placement is not used."""
-        if finding is Finding.UNUSED:
+        if finding is AttemptResult.UNUSED:
             self.note_away_end(number, ran=False)
         work = self.work.pop(number, None)
         if work is None:
@@ -414,8 +416,8 @@
         placer = self.sent_away.pop(number, "")
         if not placer or ran:
             return
-        self.limiting.note_end(self.host, number, Finding.UNUSED)
-        message = EndMessage(self.host, number, "", int(Finding.UNUSED))
+        self.limiting.note_end(self.host, number, AttemptResult.UNUSED)
+        message = EndMessage(self.host, number, "", int(AttemptResult.UNUSED))
         self.tell(placer, message)
 
     def take_end(self, host, number, server_id, finding):
@@ -430,7 +432,7 @@
             self.timeline.note(
                 EventKind.SERVER_PAUSED,
                 server=server_id,
-                reason=Finding(finding).name.lower(),
+                reason=AttemptResult(finding).name.lower(),
                 told_by=host,
             )
 
--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -12,7 +12,7 @@
 
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
-from ..traffic.evidence import Finding
+from ..traffic.serverhealth import AttemptResult
 
 __all__ = [
     "Answer",
@@ -182,7 +182,7 @@
         self.connection = NOTHING
         self.sent = False
         self.answer = NOTHING
-        self.finding = Finding.CANCELLED
+        self.finding = AttemptResult.CANCELLED
         self.events = 0
         self.first_seen = False
         self.first_at = NOTHING
@@ -297,17 +297,17 @@
             response.code, passed_headers(response), body, head
         )
         if head.misdirected:
-            self.finding = Finding.MISDIRECTED
+            self.finding = AttemptResult.MISDIRECTED
             return NotRun(Reason.REFUSED)
         if head.not_run:
-            self.finding = Finding.FULL
+            self.finding = AttemptResult.FULL
             return self.refusal(head)
         if not head.stamped and response.code < 300:
             raise _WrongAnswer
         self.first()
-        self.finding = Finding.ANSWERED
+        self.finding = AttemptResult.ANSWERED
         if response.code >= 500:
-            self.finding = Finding.ERROR
+            self.finding = AttemptResult.ERROR
         return Answered(response.code)
 
     def refusal(self, head):
@@ -335,7 +335,7 @@
             write(events)
 
         await self.read(response, _EventReader(take))
-        self.finding = Finding.ANSWERED
+        self.finding = AttemptResult.ANSWERED
         return Answered(response.code)
 
     async def read(self, response, reader):
@@ -366,21 +366,21 @@
             self.connection.transport.abortConnection()
         if self.abandon_reason is not NOTHING:
             if self.was_silent:
-                self.finding = Finding.SILENT
+                self.finding = AttemptResult.SILENT
                 # What silenced this connection may have silenced others.
                 self.connections.forget(self.lane.key, before=self.sent_at)
             outcome = Unknown if self.sent else NotRun
             return outcome(self.abandon_reason)
         if not self.sent:
-            self.finding = Finding.UNREACHED
+            self.finding = AttemptResult.UNREACHED
             return NotRun(Reason.CONNECT)
         if failure.check(_WrongAnswer):
-            self.finding = Finding.ERROR
+            self.finding = AttemptResult.ERROR
             return Unknown(Reason.BAD_ANSWER)
         if failure.check(_Truncated):
-            self.finding = Finding.ERROR
+            self.finding = AttemptResult.ERROR
             return Unknown(Reason.TRUNCATED)
-        self.finding = Finding.SILENT
+        self.finding = AttemptResult.SILENT
         return Unknown(Reason.CONNECTION_LOST)
 
 
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -2,7 +2,7 @@
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.crashes import End, Suspect
+from ..traffic.crashes import ServerCrash, Suspect
 from .digests import DigestComparison, millis
 from .messages import EndRow, SuspectRow, Suspects
 
@@ -28,7 +28,7 @@
     started, is told all by the first that hears another digest from it.
 
     Args:
-        crashes: The `Crashes`.
+        crashes: The `CrashTracker`.
         members: The `Members`.
         datagrams: The `Datagrams`.
         clock: The runtime's clock.
@@ -62,20 +62,20 @@
                 an empty string. It decides on the next try, at once.
         """
         now = self.clock.seconds()
-        end = End(server, now, self.members.own.name, caller)
-        if not self.crashes.note_end(fingerprint, end, now):
+        end = ServerCrash(server, now, self.members.own.name, caller)
+        if not self.crashes.record_crash(fingerprint, end, now):
             return
         suspect = self.crashes.suspects[fingerprint]
         self.tell([suspect], now)
         if peer_ip:
             self.tell_ip([suspect], peer_ip, now)
-        if suspect.for_all:
+        if suspect.shared_with_all:
             self.save(suspect)
 
     def ran_well(self, fingerprint, caller):
         """Note that a request of a caller has run well on a server."""
         now = self.clock.seconds()
-        if self.crashes.note_run(fingerprint, caller, now):
+        if self.crashes.record_success(fingerprint, caller, now):
             self.tell([self.crashes.suspects[fingerprint]], now)
 
     def verdict(self, fingerprint, caller):
@@ -87,7 +87,7 @@
         """Return the ends under a request, in words for a log line."""
         now = self.clock.seconds()
         suspect = self.crashes.suspects.get(fingerprint)
-        ends = suspect.ends.values() if suspect is not None else ()
+        ends = suspect.crashes.values() if suspect is not None else ()
         return ", ".join(
             f"{end.server} {now - end.at:.1f} s ago by {end.host}"
             for end in sorted(ends, key=lambda end: -end.at)
@@ -99,7 +99,7 @@
         if now >= self.expire_due:
             self.expire_due = now + EXPIRE_EVERY
             self.crashes.expire(now)
-        for suspect in self.crashes.judge(now):
+        for suspect in self.crashes.block_causes(now):
             self.note_blocked(suspect)
             self.tell([suspect], now)
             self.save(suspect)
@@ -124,7 +124,7 @@
         self.datagrams.send_all(message, self.far_contacts())
         if not region:
             return
-        if any(one.for_all for one in suspects):
+        if any(one.shared_with_all for one in suspects):
             name = self.members.own.region
             others = self.members.others.values()
             near = [one for one in others if one.region == name]
@@ -176,7 +176,7 @@
         own = self.crashes.digest
         if not self.comparison.must_tell(member.name, own, digest):
             return
-        known = self.crashes.told_to_all()
+        known = self.crashes.suspects_for_all()
         if known:
             message = self.message(known, self.clock.seconds())
             self.datagrams.send(message, member.control)
@@ -195,7 +195,7 @@
         suspect.fingerprint,
         [
             EndRow(end.server, millis(now - end.at), end.host, end.caller)
-            for end in suspect.ends.values()
+            for end in suspect.crashes.values()
         ],
         suspect.blocked,
         cleared,
@@ -205,7 +205,7 @@
 def suspect_of(row, now):
     """Return the `Suspect` of a `SuspectRow`, in times of this host."""
     ends = {
-        end.server: End(
+        end.server: ServerCrash(
             end.server, now - end.age_ms / 1000, end.host, end.caller
         )
         for end in row.ends
--- a/src/hyssopspring/entry/crashstore.py
+++ b/src/hyssopspring/entry/crashstore.py
@@ -9,7 +9,7 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, ProtocolError
 from ..stores.keyvalues import Applied
-from ..traffic.crashes import KEPT
+from ..traffic.crashes import RETENTION_SECONDS
 from .crashsharing import row_of, suspect_of
 from .hostentries import OWN_PREFIX
 from .messages import SuspectRow
@@ -42,7 +42,7 @@
 
     Args:
         store: The client of the store.
-        crashes: The `Crashes`.
+        crashes: The `CrashTracker`.
         clock: The runtime's clock.
         wall: Callable that returns the wall clock in seconds.
         timeline: The `Timeline`.
@@ -85,8 +85,8 @@
     async def write(self, suspect):
         """Write one request under a lease; return whether it stands."""
         now = self.clock.seconds()
-        left = KEPT - (now - suspect.newest)
-        if left < 1.0 or not suspect.ends:
+        left = RETENTION_SECONDS - (now - suspect.last_event_at)
+        if left < 1.0 or not suspect.crashes:
             return True
         key = CRASHES_PREFIX + suspect.fingerprint
         stored = StoredSuspect(int(self.wall() * 1000), row_of(suspect, now))
--- a/src/hyssopspring/entry/endings.py
+++ b/src/hyssopspring/entry/endings.py
@@ -6,8 +6,8 @@
 from ..core.hashing import digest_of
 from ..core.sentinels import NOTHING
 from ..net.sinks import first_value
-from ..traffic.crashes import EARLY, is_early
-from ..traffic.evidence import Finding
+from ..traffic.crashes import EARLY_RESPONSE_SECONDS, may_be_cause
+from ..traffic.serverhealth import AttemptResult
 from ..traffic.servers import Usability
 
 __all__ = [
@@ -144,11 +144,11 @@
         sending = attempt.sending
         lane = attempt.lane
         fingerprint = fingerprint_at(attempt)
-        early = is_early(
+        early = may_be_cause(
             ran_for=attempt.ran_for,
             predicted=predicted,
-            headed=attempt.headed,
-            begun_for=attempt.begun_for,
+            head_received=attempt.headed,
+            response_age=attempt.begun_for,
         )
         self.timeline.note(
             EventKind.SERVER_ENDED,
@@ -166,7 +166,7 @@
             self.sharing.server_ended(
                 fingerprint,
                 caller,
-                self.registry.start_of(lane.key),
+                self.registry.current_instance(lane.key),
                 sent_by,
             )
         elif attempt.begun_for is not NOTHING:
@@ -187,6 +187,9 @@
 
 def ran_well(attempt):
     """Whether an attempt shows that its server could run the request."""
-    if attempt.finding is Finding.ANSWERED:
+    if attempt.finding is AttemptResult.ANSWERED:
         return True
-    return attempt.begun_for is not NOTHING and attempt.begun_for > EARLY
+    return (
+        attempt.begun_for is not NOTHING
+        and attempt.begun_for > EARLY_RESPONSE_SECONDS
+    )
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -9,7 +9,7 @@
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink
 from ..traffic.decisions import Ask, Away, Limited, Placed
-from ..traffic.evidence import Finding
+from ..traffic.serverhealth import AttemptResult
 from .attempts import Attempt, Sending, silence_limit
 from .connections import Lane
 from .notices import notice_details
@@ -154,7 +154,7 @@
     async def run(self):
         """Try until there is a final outcome, and deliver it."""
         now = self.state.clock.seconds()
-        self.state.retries.note_request(self.service, now)
+        self.state.retries.record_request(self.service, now)
         outcome = NOTHING
         while True:
             outcome = await self.next_try()
@@ -171,11 +171,11 @@
             return refusal
         number, decision = await self.placed()
         if self.sink.gone or self.time_left < LEAST_TIME:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.asking.note_end(number, AttemptResult.UNUSED)
             return NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER)
         refusal = self.refused_for_crashes()
         if refusal is not NOTHING:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.asking.note_end(number, AttemptResult.UNUSED)
             return refusal
         if isinstance(decision, Placed):
             return await self.try_server(number, decision)
@@ -337,7 +337,7 @@
         )
         if not isinstance(outcome, Answered) or outcome.status >= 500:
             self.excluded.append(placed.server_id)
-        if self.attempt.finding is Finding.UNREACHED:
+        if self.attempt.finding is AttemptResult.UNREACHED:
             self.state.connections.forget(placed.server_id)
         return outcome
 
@@ -392,7 +392,7 @@
             self.excluded.append(answer.head.server_id)
         if isinstance(outcome, NotRun):
             self.avoid_region(away.region)
-        if self.attempt.finding is Finding.UNREACHED:
+        if self.attempt.finding is AttemptResult.UNREACHED:
             self.state.connections.forget(member.name)
         return outcome
 
@@ -568,7 +568,7 @@
             self.placement = (number, decision)
             silent.abandon(Reason.CONNECTION_LOST, silent=True)
         else:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.asking.note_end(number, AttemptResult.UNUSED)
 
     def silence_limit(self):
         """Return the seconds after which a server counts as silent."""
--- a/src/hyssopspring/entry/following.py
+++ b/src/hyssopspring/entry/following.py
@@ -6,7 +6,7 @@
 from ..core.exceptions import KeyValueError, ProtocolError
 from ..core.sentinels import NOTHING
 from ..stores.keyvalues import Applied
-from ..traffic.members import LEARNING, SETTLED
+from ..traffic.members import PLACER_WARMUP_SECONDS, STARTUP_DISCOVERY_SECONDS
 from .copies import Copies
 from .crashstore import CRASHES_PREFIX
 from .hostentries import (
@@ -124,7 +124,9 @@
             self.state.rng,
             self.pass_on,
             self.asking,
-            lambda: self.state.members.own.up_seconds < LEARNING,
+            lambda: (
+                self.state.members.own.up_seconds < STARTUP_DISCOVERY_SECONDS
+            ),
         )
 
     def asking(self, prefix):
@@ -187,7 +189,7 @@
         now = self.state.clock.seconds()
         own = self.state.members.own
         ranked = self.state.members.placers(now)[:WATCHING_HOSTS]
-        if own in ranked and own.up_seconds >= SETTLED:
+        if own in ranked and own.up_seconds >= PLACER_WARMUP_SECONDS:
             self.copies.pass_on(prefix, changes, outage)
 
     def start(self):
@@ -408,7 +410,7 @@
         except ProtocolError as problem:
             self.state.timeline.note(EventKind.CONFIG_INVALID, why=problem)
             return
-        self.state.members.learn(member)
+        self.state.members.add(member)
 
     def host_removed(self, key, outage):
         """Do nothing: heartbeats tell which hosts live."""
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -3,8 +3,8 @@
 from ..core.hashing import short_id
 from ..core.sentinels import NOTHING
 from ..traffic.decisions import Away, Limited, Placed
-from ..traffic.evidence import NOT_RUN
-from ..traffic.members import Report
+from ..traffic.members import Subscription
+from ..traffic.serverhealth import NOT_RUN
 from .messages import Transfer, TransferAsk
 
 __all__ = ["TRANSFERS_EVERY", "Limiting", "Standing"]
@@ -93,7 +93,7 @@
             parts = [self.part_as_first(member, now) for member in others]
             own_part = 1.0
         else:
-            silent = not first.heard_within(FIRST_SILENCE, now)
+            silent = not first.heartbeat_within(FIRST_SILENCE, now)
             part = SECOND_PART + (FIRST_PART if silent else 0.0)
             parts = [
                 part * was_lately(self.asked_second, member, now)
@@ -104,7 +104,10 @@
 
     def part_as_first(self, member, now):
         """Return the part of a host that counts on this one as the first."""
-        if member.wants is not Report.ROSTERS or not member.is_reporting(now):
+        if (
+            member.subscription is not Subscription.ROSTERS
+            or not member.is_reporting(now)
+        ):
             return 0.0
         strays = was_lately(self.strayed, member, now)
         return FIRST_PART if strays else 1.0
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -2,9 +2,9 @@
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.evidence import Finding
-from ..traffic.members import Report
+from ..traffic.members import Subscription
 from ..traffic.regions import RegionLoad, Room
+from ..traffic.serverhealth import AttemptResult
 from ..traffic.work import RANKS, Ticket
 from .hostentries import member_of
 from .messages import (
@@ -159,11 +159,11 @@
         """Report to a few hosts, answer those that report to this one."""
         now = self.clock.seconds()
         region = self.members.own.region
-        contacts = self.members.contacts(now, region, CONTACTS)
-        probed = self.members.probed(now, region, self.beats)
+        contacts = self.members.report_targets(now, region, CONTACTS)
+        probed = self.members.probe_targets(now, region, self.beats)
         self.report(contacts)
         self.datagrams.send_all(
-            self.heartbeat(Report.HEARTBEATS),
+            self.heartbeat(Subscription.HEARTBEATS),
             [one for one in probed if one not in contacts],
         )
         self.beats += 1
@@ -184,12 +184,15 @@
         """
         tickets = self.asking.open_tickets()
         reports = (
-            (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
+            (contacts[:1], self.heartbeat(Subscription.ROSTERS, tickets)),
             (
                 contacts[1:INFORMED_HOSTS],
-                self.heartbeat(Report.HEARTBEATS, tickets),
+                self.heartbeat(Subscription.HEARTBEATS, tickets),
+            ),
+            (
+                contacts[INFORMED_HOSTS:],
+                self.heartbeat(Subscription.HEARTBEATS),
             ),
-            (contacts[INFORMED_HOSTS:], self.heartbeat(Report.HEARTBEATS)),
         )
         for members, message in reports:
             if members:
@@ -197,7 +200,11 @@
 
     def send_rosters(self, reporting, now):
         """Tell who lives, to those that count on this host for it."""
-        wanting = [one for one in reporting if one.wants is Report.ROSTERS]
+        wanting = [
+            one
+            for one in reporting
+            if one.subscription is Subscription.ROSTERS
+        ]
         regions = []
         if self.beats % ROSTER_BEATS == 0:
             regions.append(self.members.own.region)
@@ -240,8 +247,12 @@
         """Return the hosts of other regions to report to."""
         chosen = []
         for region in regions:
-            chosen += self.members.contacts(now, region, CONTACTS, FAR_ANSWER)
-            probed = self.members.probed(now, region, self.beats // FAR_BEATS)
+            chosen += self.members.report_targets(
+                now, region, CONTACTS, FAR_ANSWER
+            )
+            probed = self.members.probe_targets(
+                now, region, self.beats // FAR_BEATS
+            )
             chosen += [one for one in probed if one not in chosen]
         return chosen
 
@@ -262,11 +273,11 @@
         if far and self.places(self.clock.seconds()):
             self.datagrams.send(self.summary(), member.control)
 
-    def heartbeat(self, report=Report.NONE, tickets=None):
+    def heartbeat(self, report=Subscription.NONE, tickets=None):
         """Return the heartbeat of this moment.
 
         Args:
-            report: The `Report`.
+            report: The `Subscription`.
             tickets: `OpenTicket` of each request in progress, or None.
         """
         own = self.members.own
@@ -299,7 +310,7 @@
         for name in live - self.was_live:
             self.timeline.note(EventKind.PEER_SEEN, peer=name)
         self.was_live = live
-        self.members.forget_silent(now, FORGET_AFTER)
+        self.members.remove_silent(now, FORGET_AFTER)
 
     def far_hosts_to_tell(self):
         """Return the hosts of other regions to tell news, if this places."""
@@ -335,7 +346,7 @@
         now = self.clock.seconds()
         member = self.members.others.get(message.host)
         if member is None or message.incarnation != member.incarnation:
-            self.members.learn(member_of(message), spoke_at=now)
+            self.members.add(member_of(message), announced_at=now)
             learned = self.members.others.get(message.host)
             if learned is not member:
                 member = learned
@@ -343,10 +354,10 @@
                 self.welcome(member)
         if member is None or message.incarnation != member.incarnation:
             return
-        member.heard_at = now
+        member.last_heartbeat_at = now
         leaves = message.leaving and not member.leaving
-        member.wants = message.report
-        if message.report is not Report.NONE:
+        member.subscription = message.report
+        if message.report is not Subscription.NONE:
             member.reported_at = now
         member.leaving = message.leaving
         member.up_seconds = message.up_seconds
@@ -372,7 +383,7 @@
         wanting = [
             one
             for one in self.members.reporting(now)
-            if one.wants is Report.ROSTERS
+            if one.subscription is Subscription.ROSTERS
         ]
         self.send_to_many(self.rosters.about(member, now), wanting)
 
@@ -427,7 +438,7 @@
             message.host,
             message.number,
             message.server_id,
-            Finding(message.finding),
+            AttemptResult(message.finding),
         )
 
     def take_summary(self, message):
--- a/src/hyssopspring/entry/messages.py
+++ b/src/hyssopspring/entry/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..core.exceptions import ProtocolError
-from ..traffic.members import Report
+from ..traffic.members import Subscription
 from .hostentries import HostEntry
 
 __all__ = [
@@ -206,7 +206,7 @@
         host: Host that carried it out.
         number: Its number.
         server_id: The server.
-        finding: Number of the `Finding`.
+        finding: Number of the `AttemptResult`.
     """
 
     host: str
@@ -255,7 +255,7 @@
         version: Version of its configuration.
         revisions: Newest revisions that it has seen, of what operators
             wrote and of the servers.
-        report: `Report`: what it wants from who gets this.
+        report: `Subscription`: what it wants from who gets this.
         tickets: Its requests in progress, or None if they are not told.
         crashes: Digest of what it knows of requests under which servers
             ended.
@@ -276,7 +276,7 @@
     contact_age: float
     version: int
     revisions: tuple[int, int]
-    report: Report
+    report: Subscription
     tickets: list[OpenTicket] | None = None
     crashes: int = 0
     notices: int = 0
--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -37,7 +37,7 @@
 
     Args:
         limits: The `ServerLimits`.
-        rests: The `Rests`.
+        rests: The `RetryAfterPauses`.
         registry: The `Registry`.
         members: The `Members`.
         datagrams: The `Datagrams`.
@@ -75,7 +75,7 @@
     @property
     def digest(self):
         """Digest of what servers are known to say."""
-        return self.limits.digest ^ self.registry.left_digest
+        return self.limits.digest ^ self.registry.leaving_digest
 
     def listener(self, server_id, request):
         """Return what takes the `Head` of an answer to a request.
@@ -86,10 +86,10 @@
             server_id: The server that the request is sent to.
             request: Identifier of the request.
         """
-        start = self.registry.start_of(server_id)
+        start = self.registry.current_instance(server_id)
 
         def hear(head):
-            if self.registry.start_of(server_id) == start:
+            if self.registry.current_instance(server_id) == start:
                 self.hear(server_id, start, request, head)
 
         return hear
@@ -108,7 +108,7 @@
             self.ignore(server_id, request, "rest")
             return
         now = self.clock.seconds()
-        if seconds and self.rests.note(server_id, request, seconds, now):
+        if seconds and self.rests.record(server_id, request, seconds, now):
             self.timeline.note(
                 EventKind.SERVER_RESTING,
                 server=server_id,
@@ -124,13 +124,13 @@
         now = self.clock.seconds()
         notice = LeavingNotice(
             server_id=server_id,
-            start=start,
+            instance_id=start,
             address=self.registry.servers[server_id].entry.address,
             at=now,
             host=self.members.own.name,
             request=request,
         )
-        if self.registry.note_leaving(notice, now):
+        if self.registry.record_leaving(notice, now):
             self.note_leaving(notice, now)
             self.spread(self.message([], [notice], now))
 
@@ -150,20 +150,20 @@
         if head.limit is INVALID:
             self.ignore(server_id, request, "limit")
             return
-        unknown = server_id not in self.limits.named
+        unknown = server_id not in self.limits.by_server
         # A server that is full may refuse without a word on limits.
         if head.limit is NOTHING and (head.not_run or unknown):
             return
         now = self.clock.seconds()
         notice = LimitNotice(
             server_id=server_id,
-            start=start,
+            instance_id=start,
             limit=UNLIMITED if head.limit is NOTHING else head.limit,
             at=now,
             host=self.members.own.name,
             request=request,
         )
-        if self.limits.hear(notice, now):
+        if self.limits.apply_notice(notice, now):
             self.note_limit(notice, now)
             self.tell(notice, now)
 
@@ -225,11 +225,11 @@
         now = self.clock.seconds()
         for row in filter(self.concerns, message.limits):
             notice = limit_of(row, now)
-            if self.limits.hear(notice, now):
+            if self.limits.apply_notice(notice, now):
                 self.note_limit(notice, now)
         for row in message.leaving:
             notice = leaving_of(row, now)
-            if self.registry.note_leaving(notice, now):
+            if self.registry.record_leaving(notice, now):
                 self.note_leaving(notice, now)
 
     def concerns(self, row):
@@ -238,7 +238,9 @@
         Word of a server may come before its entry does.
         """
         unknown = row.server_id not in self.registry.servers
-        return unknown or self.registry.is_known(row.server_id, row.start)
+        return unknown or self.registry.is_current_instance(
+            row.server_id, row.start
+        )
 
     def compare(self, member, digest):
         """Tell a host of the region all if it knows something else."""
@@ -247,7 +249,7 @@
         if not self.comparison.must_tell(member.name, self.digest, digest):
             return
         limits = self.limits.notices()
-        leaving = list(self.registry.left.values())
+        leaving = list(self.registry.leaving_notices.values())
         if limits or leaving:
             now = self.clock.seconds()
             message = self.message(limits, leaving, now)
@@ -256,7 +258,7 @@
     def tick(self):
         """Forget what concerns servers that are gone."""
         now = self.clock.seconds()
-        self.registry.forget_left(now)
+        self.registry.expire_leaving_notices(now)
         self.limits.expire(now)
         known = self.registry.servers
         for table in (self.ignored, self.told_all):
@@ -270,7 +272,7 @@
     ended = notice.limit == UNLIMITED
     return LimitRow(
         notice.server_id,
-        notice.start,
+        notice.instance_id,
         NO_LIMIT_TOLD if ended else notice.limit,
         millis(now - notice.at),
         notice.host,
@@ -282,7 +284,7 @@
     """Return the `LeavingRow` of a `LeavingNotice`, with its age."""
     return LeavingRow(
         notice.server_id,
-        notice.start,
+        notice.instance_id,
         notice.address,
         millis(now - notice.at),
         notice.host,
@@ -294,7 +296,7 @@
     """Return the `LeavingNotice` of a row, in times of this host."""
     return LeavingNotice(
         server_id=row.server_id,
-        start=row.start,
+        instance_id=row.start,
         address=row.address,
         at=now - row.age_ms / 1000,
         host=row.host,
@@ -306,7 +308,7 @@
     """Return the `LimitNotice` of a row, in times of this host."""
     return LimitNotice(
         server_id=row.server_id,
-        start=row.start,
+        instance_id=row.start,
         limit=UNLIMITED if row.limit < 0 else row.limit,
         at=now - row.age_ms / 1000,
         host=row.host,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -19,12 +19,12 @@
 from ..platform.pages import DirectoryPages
 from ..platform.settings import PATH_VARIABLE, read_settings
 from ..platform.store import PlatformStore
-from ..traffic.crashes import Crashes
+from ..traffic.crashes import CrashTracker
 from ..traffic.mechanisms import parse_off
 from ..traffic.members import Member, Members
 from ..traffic.placing import Placer
-from ..traffic.rests import Rests
-from ..traffic.retries import RetryWindow
+from ..traffic.retries import WindowedRetryBudget
+from ..traffic.retryafter import RetryAfterPauses
 from ..traffic.routes import ConfigurationKeeper, RequestLimits, Service
 from ..traffic.serverlimits import ServerLimits
 from ..traffic.servers import Registry
@@ -119,10 +119,10 @@
         settings = self.settings
         self.keeper = ConfigurationKeeper()
         self.registry = Registry(settings.regions)
-        self.crashes = Crashes()
+        self.crashes = CrashTracker()
         self.members = Members(own_member(settings, int(wall() * 1000)))
         standing = Standing(self.members, self.reactor)
-        self.rests = Rests(self.registry, self.rng)
+        self.rests = RetryAfterPauses(self.registry, self.rng)
         self.server_limits = ServerLimits(standing.weight, self.rng)
         self.placer = Placer(
             settings.region,
@@ -201,7 +201,7 @@
             contact=Contact(self.reactor, self.timeline),
             view=view,
             provenance=Provenance(self.keeper, view, self.reactor),
-            retries=RetryWindow(
+            retries=WindowedRetryBudget(
                 settings.retry_ratio,
                 settings.retry_extra,
                 settings.retry_window,
@@ -389,8 +389,8 @@
             "questions_left_out_total": self.asking.left_out,
             "requests_suspected": len(self.crashes.suspects),
             "servers_leaving_by_answer": self.registry.leaving_by_answer(),
-            "servers_at_rest": self.rests.at_rest(now),
-            "servers_limited": self.server_limits.in_force(now),
+            "servers_at_rest": self.rests.count_blocked(now),
+            "servers_limited": self.server_limits.count_limited(now),
             "requests_placed": len(self.placer.tickets),
             "hosts_live": len(self.members.live(now)),
             "servers_known": len(self.registry.servers),
@@ -423,7 +423,7 @@
             data_centre: Its data centre.
         """
         now = self.reactor.seconds()
-        live = self.members.named(now)
+        live = self.members.listed(now)
         homes = self.homes_of(name)
         choices = (
             [one for one in live if one.region == region],
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -11,7 +11,7 @@
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink, first_value
 from ..traffic.decisions import Ask, Placed
-from ..traffic.evidence import Finding
+from ..traffic.serverhealth import AttemptResult
 from .attempts import Attempt, Head, Sending, silence_limit
 from .connections import Lane
 from .notices import notice_details
@@ -257,7 +257,7 @@
             **notice_details(decision),
         )
         if self.sink.gone or self.refuse_for_crashes():
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.asking.note_end(number, AttemptResult.UNUSED)
             return
         outcome = await self.carry(number, decision, facts)
         self.conclude(outcome)
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -4,7 +4,7 @@
 import math
 
 from ..core.sentinels import NOTHING
-from ..traffic.members import CONTACT_AGE, SETTLED
+from ..traffic.members import MAX_CONTACT_AGE_SECONDS, PLACER_WARMUP_SECONDS
 from .hostentries import host_entry, member_of
 from .messages import Records, RecordsAsk, Roster, RosterRow
 
@@ -104,12 +104,12 @@
         """Learn who hosts are."""
         now = self.clock.seconds()
         for entry in message.hosts:
-            self.members.learn(member_of(entry), spoke_at=now)
+            self.members.add(member_of(entry), announced_at=now)
 
 
 def told_of(member, now):
     """Whether a host was heard of lately enough to tell of it."""
-    last = member.last_word_at
+    last = member.last_seen_at
     return last is not NOTHING and now - last < GONE_FOR
 
 
@@ -128,31 +128,41 @@
     if HostState.GONE in HostState(row.state):
         forget_word(member, heard)
         return
-    if member.told_at is NOTHING or heard > member.told_at:
-        member.told_at = heard
-    if member.heard_at is not NOTHING and member.heard_at >= heard:
+    if member.reported_alive_at is NOTHING or heard > member.reported_alive_at:
+        member.reported_alive_at = heard
+    if (
+        member.last_heartbeat_at is not NOTHING
+        and member.last_heartbeat_at >= heard
+    ):
         return
     state = HostState(row.state)
     member.leaving = HostState.LEAVING in state
     out_of_contact = HostState.OUT_OF_CONTACT in state
-    member.contact_age = 2 * CONTACT_AGE if out_of_contact else 0.0
-    member.up_seconds = 0.0 if HostState.UNSETTLED in state else SETTLED
+    member.contact_age = 2 * MAX_CONTACT_AGE_SECONDS if out_of_contact else 0.0
+    member.up_seconds = (
+        0.0 if HostState.UNSETTLED in state else PLACER_WARMUP_SECONDS
+    )
     configured = HostState.UNCONFIGURED not in state
     member.version = max(1, member.version) if configured else 0
 
 
 def forget_word(member, heard):
     """Take a host for gone of which nothing was heard since *heard*."""
-    if member.told_at is not NOTHING:
-        member.told_at = min(member.told_at, heard - GONE_FOR)
+    if member.reported_alive_at is not NOTHING:
+        member.reported_alive_at = min(
+            member.reported_alive_at, heard - GONE_FOR
+        )
 
 
 def state_of(member):
     """Return the `HostState` of a host."""
     states = (
         (HostState.LEAVING, member.leaving),
-        (HostState.OUT_OF_CONTACT, member.contact_age > CONTACT_AGE),
-        (HostState.UNSETTLED, member.up_seconds < SETTLED),
+        (
+            HostState.OUT_OF_CONTACT,
+            member.contact_age > MAX_CONTACT_AGE_SECONDS,
+        ),
+        (HostState.UNSETTLED, member.up_seconds < PLACER_WARMUP_SECONDS),
         (HostState.UNCONFIGURED, not member.version),
     )
     found = HostState(0)
@@ -168,5 +178,5 @@
     Rounded down, the word of a host that is gone would grow younger with
     each host that passes it on.
     """
-    age = math.ceil((now - member.last_word_at) * TENTHS)
+    age = math.ceil((now - member.last_seen_at) * TENTHS)
     return min(OLDEST_TENTHS, max(0, age))
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -25,7 +25,7 @@
         contact: `Contact` with the store.
         view: `ConfirmedView` of the configuration.
         provenance: `Provenance` of the configuration in force.
-        retries: `RetryWindow`.
+        retries: `WindowedRetryBudget`.
         endings: `Endings` of backend servers.
         sharing: `CrashSharing` of requests under which servers ended.
         notices: `Notices` that servers give in their answers.
--- a/src/hyssopspring/entry/suspicion.py
+++ b/src/hyssopspring/entry/suspicion.py
@@ -12,7 +12,7 @@
 yet whether servers end under it; word of all that ended is there by then."""
 
 REFUSED_VERDICTS = {
-    Verdict.HELD: Reason.SUSPECTED,
+    Verdict.DEFERRED: Reason.SUSPECTED,
     Verdict.BLOCKED: Reason.CRASHES_SERVERS,
 }
 
@@ -59,9 +59,9 @@
         """Return the `Verdict` of this moment."""
         # The body of a request whose caller has gone cannot be read.
         if not self.caller or self.request._disconnected:
-            return Verdict.FREE
+            return Verdict.ALLOWED
         if not self.sharing.knows_any():
-            return Verdict.FREE
+            return Verdict.ALLOWED
         return self.sharing.verdict(self.fingerprint, self.caller)
 
     def refusal(self):
@@ -70,7 +70,7 @@
 
     def apart(self):
         """Return the fingerprint if it must run apart, or ""."""
-        return self.fingerprint if self.verdict() is Verdict.ALONE else ""
+        return self.fingerprint if self.verdict() is Verdict.ISOLATED else ""
 
     def evidence(self):
         """Return the ends under it, in words for a log line."""
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -10,7 +10,7 @@
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.members import LEARNING
+from ..traffic.members import STARTUP_DISCOVERY_SECONDS
 from .messages import ViewAnswer, ViewAsk
 
 __all__ = ["ConfirmedView", "ViewChecking"]
@@ -165,7 +165,7 @@
         self.note_state()
         own = self.members.own
         ranked = self.members.placers(self.clock.seconds())
-        heard = len(ranked) > 1 or own.up_seconds >= LEARNING
+        heard = len(ranked) > 1 or own.up_seconds >= STARTUP_DISCOVERY_SECONDS
         first = ranked[0] is own and heard
         age = self.view.age
         if age > (READ_EVERY if first else READ_AFTER):
--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashes.py
@@ -9,7 +9,13 @@
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
 from ..entry.crashsharing import row_of, suspect_of
-from ..traffic.crashes import KEPT, Crashes, End, Verdict, is_early
+from ..traffic.crashes import (
+    RETENTION_SECONDS,
+    CrashTracker,
+    ServerCrash,
+    Verdict,
+    may_be_cause,
+)
 from .messages import CallSuspects
 
 __all__ = ["CRASH_TOPIC", "AttemptTimes", "CallCrashes"]
@@ -53,7 +59,7 @@
         self.clock = clock
         self.timeline = timeline
         self.publish = publish
-        self.crashes = Crashes()
+        self.crashes = CrashTracker()
         self.apart = set()
         self.tell_due = 0.0
 
@@ -71,7 +77,7 @@
         verdict = self.crashes.verdict(fingerprint, "", now)
         if verdict is Verdict.BLOCKED:
             # It is tried again when it is forgotten, and not sooner.
-            return NotRun(Reason.CRASHES_SERVERS, KEPT)
+            return NotRun(Reason.CRASHES_SERVERS, RETENTION_SECONDS)
         waits = verdict is Verdict.ALONE and self.apart - {request.id}
         if verdict is Verdict.HELD or waits:
             return NotRun(Reason.SUSPECTED, HELD_RETRY_AFTER)
@@ -117,7 +123,7 @@
 
     def note_run(self, fingerprint):
         """Note that a call ran well."""
-        if self.crashes.note_run(fingerprint, "", self.clock.seconds()):
+        if self.crashes.record_success(fingerprint, "", self.clock.seconds()):
             self.tell([self.crashes.suspects[fingerprint]])
 
     def note_end(self, request, fingerprint, server):
@@ -129,8 +135,8 @@
             server=server,
             fingerprint=fingerprint,
         )
-        end = End(server, now, self.host)
-        if self.crashes.note_end(fingerprint, end, now):
+        end = ServerCrash(server, now, self.host)
+        if self.crashes.record_crash(fingerprint, end, now):
             self.tell([self.crashes.suspects[fingerprint]])
 
     def tell(self, suspects):
@@ -159,17 +165,17 @@
     def tick(self):
         """Do what is due; called once a heartbeat interval."""
         now = self.clock.seconds()
-        for suspect in self.crashes.judge(now):
+        for suspect in self.crashes.block_causes(now):
             self.timeline.note(
                 EventKind.REQUEST_BLOCKED,
                 fingerprint=suspect.fingerprint,
-                evidence=", ".join(sorted(suspect.ends)),
+                evidence=", ".join(sorted(suspect.crashes)),
             )
         if now < self.tell_due:
             return
         self.tell_due = now + TELL_EVERY
         self.crashes.expire(now)
-        known = self.crashes.told_to_all()
+        known = self.crashes.suspects_for_all()
         if known:
             self.tell(known)
 
@@ -189,11 +195,11 @@
         begun_for = NOTHING
         if first_at is not NOTHING:
             begun_for = now - first_at
-        self.early = is_early(
+        self.early = may_be_cause(
             ran_for=now - began,
             predicted=predicted,
-            headed=headed,
-            begun_for=begun_for,
+            head_received=headed,
+            response_age=begun_for,
         )
 
 
--- a/src/hyssopspring/platform/registry.py
+++ b/src/hyssopspring/platform/registry.py
@@ -58,9 +58,9 @@
         split_address(row.address)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as problem:
         raise ProtocolError(f"{key}: {problem}") from None
-    gone_in = NOTHING
+    terminates_in = NOTHING
     if row.time_left_ms is not None:
-        gone_in = row.time_left_ms / 1000
+        terminates_in = row.time_left_ms / 1000
     return ServerEntry(
         id=server_id(key),
         service=row.service,
@@ -70,5 +70,5 @@
         born=row.born,
         leaving=row.state == LEAVING,
         cold_left=row.cold_left_ms / 1000,
-        gone_in=gone_in,
+        terminates_in=terminates_in,
     )
--- a/src/hyssopspring/traffic/crashes.py
+++ b/src/hyssopspring/traffic/crashes.py
@@ -19,40 +19,40 @@
 from ..core.hashing import hash_text
 from ..core.sentinels import NOTHING
 
-__all__ = ["Crashes", "End", "Suspect", "Verdict", "is_early"]
+__all__ = ["CrashTracker", "ServerCrash", "Suspect", "Verdict", "may_be_cause"]
 
-ENDS_TO_BLOCK = 3
+CRASHES_TO_BLOCK = 3
 """Ends of servers after which a request is blocked. Servers end for other
 reasons too, but seldom three just as the same request begins on them. Each
 more would cost a server for seconds, and all that it runs."""
 
-ENDS_TO_SEPARATE = 2
+CRASHES_TO_ISOLATE = 2
 """Ends after which a request is run apart from others suspected."""
 
-EXPLAINED_WEIGHT = 1
+EXPLAINED_CRASH_WEIGHT = 1
 """What two ends or more that a blocked request explains count for, beside
 ends that none explains. What was only near that one meets no more ends; of
 two that end servers, the second would else cost three servers more."""
 
-EARLY = 0.5
+EARLY_RESPONSE_SECONDS = 0.5
 """Seconds after the beginning of an answer in which an end of the server
 may still be due to the request. A request that ends servers does so as it
 begins; what has run for longer ended with its server."""
 
-EARLY_WAIT = 1.0
+MAX_EXTRA_WAIT_SECONDS = 1.0
 """Seconds besides the predicted time, for a request of which nothing had
 come: the wait at a busy server is longer than predicted now and then. What
 takes longer still speaks neither for nor against the request."""
 
-SETTLE = 0.3
+REPORT_DELAY_SECONDS = 0.3
 """Seconds after an end in which others may still tell of what ended with
 it: word from another region takes 0.1 s, and a lost one is repeated."""
 
-KEPT = 600.0
+RETENTION_SECONDS = 600.0
 """Seconds for which ends are remembered. A new version of the servers may
 run the request well; and the store gives no longer lease."""
 
-MOST_SUSPECTS = 2_000
+MAX_SUSPECTS = 2_000
 """Requests that are remembered, about 1 MB. Those with the fewest and the
 oldest ends go first; they are the ones that were only near by."""
 
@@ -60,14 +60,14 @@
 class Verdict(enum.Enum):
     """What may be done with a request."""
 
-    FREE = enum.auto()
-    ALONE = enum.auto()
-    HELD = enum.auto()
+    ALLOWED = enum.auto()
+    ISOLATED = enum.auto()
+    DEFERRED = enum.auto()
     BLOCKED = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class ServerCrash:
     """A server that ended as a request began on it.
 
     Attributes:
@@ -89,7 +89,7 @@
 
     Attributes:
         fingerprint: What its repeats have in common.
-        ends: `End` by server.
+        ends: `ServerCrash` by server.
         blocked: Whether it was found to be the cause.
         cleared_at: Time at which it was last known to run well, or
             `NOTHING`. Ends before do not count.
@@ -99,15 +99,15 @@
     """
 
     fingerprint: str
-    ends: dict = field(default_factory=dict)
+    crashes: dict = field(default_factory=dict)
     blocked: bool = False
     cleared_at: object = NOTHING
-    for_all: bool = False
+    shared_with_all: bool = False
 
     @property
-    def newest(self):
+    def last_event_at(self):
         """Time of the last that is known of it."""
-        times = [end.at for end in self.ends.values()]
+        times = [crash.at for crash in self.crashes.values()]
         if self.cleared_at is not NOTHING:
             times.append(self.cleared_at)
         return max(times)
@@ -115,7 +115,7 @@
     @property
     def callers(self):
         """Addresses that it came from when servers ended under it."""
-        return {end.caller for end in self.ends.values()}
+        return {crash.caller for crash in self.crashes.values()}
 
     def is_blocked_for(self, caller):
         """Whether it is refused to a caller.
@@ -128,7 +128,7 @@
         return len(self.callers) > 1 or caller in self.callers
 
 
-def is_early(*, ran_for, predicted, headed, begun_for):
+def may_be_cause(*, ran_for, predicted, head_received, response_age):
     """Whether a request may be why its server ended.
 
     A head without anything after it shows that the server had just begun,
@@ -137,16 +137,16 @@
     Args:
         ran_for: Seconds since it was sent there.
         predicted: Seconds in which it was to begin.
-        headed: Whether the head of its answer had come.
-        begun_for: Seconds since the first of its answer came, or
+        head_received: Whether the head of its answer had come.
+        response_age: Seconds since the first of its answer came, or
             `NOTHING`.
     """
-    if begun_for is not NOTHING:
-        return begun_for <= EARLY
-    return headed or ran_for <= predicted + EARLY_WAIT
+    if response_age is not NOTHING:
+        return response_age <= EARLY_RESPONSE_SECONDS
+    return head_received or ran_for <= predicted + MAX_EXTRA_WAIT_SECONDS
 
 
-class Crashes:
+class CrashTracker:
     """All that this host knows of requests under which servers ended.
 
     What is known only grows, by union, until it is forgotten by its age.
@@ -156,38 +156,38 @@
     def __init__(self):
         self.suspects = {}
         self.by_server = {}
-        self.kept_digest = 0
+        self.cached_digest = 0
 
-    def note_end(self, fingerprint, end, now):
+    def record_crash(self, fingerprint, crash, now):
         """Add one end of a server; return whether it is new."""
-        if now - end.at > KEPT:
+        if now - crash.at > RETENTION_SECONDS:
             return False
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            suspect = self.add(Suspect(fingerprint))
-        if end.server in suspect.ends or is_cleared(suspect, end):
+            suspect = self.add_suspect(Suspect(fingerprint))
+        if crash.server in suspect.crashes or is_cleared(suspect, crash):
             return False
-        suspect.ends[end.server] = end
-        if len(suspect.ends) >= ENDS_TO_SEPARATE:
-            suspect.for_all = True
-        self.by_server.setdefault(end.server, set()).add(fingerprint)
-        self.kept_digest = NOTHING
-        self.bound()
+        suspect.crashes[crash.server] = crash
+        if len(suspect.crashes) >= CRASHES_TO_ISOLATE:
+            suspect.shared_with_all = True
+        self.by_server.setdefault(crash.server, set()).add(fingerprint)
+        self.cached_digest = NOTHING
+        self.evict_excess()
         return True
 
-    def add(self, suspect):
+    def add_suspect(self, suspect):
         """Remember one more request."""
         self.suspects[suspect.fingerprint] = suspect
         return suspect
 
-    def note_run(self, fingerprint, caller, now):
+    def record_success(self, fingerprint, caller, now):
         """Note that a request has run well; return whether it is news.
 
         Where it is blocked, another caller's says nothing of the first
         one's.
         """
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashes:
             return False
         if suspect.blocked and caller not in suspect.callers:
             return False
@@ -198,96 +198,115 @@
         """Forget the ends of a request up to the time *at*."""
         if suspect.cleared_at is NOTHING or at > suspect.cleared_at:
             suspect.cleared_at = at
-        for end in list(suspect.ends.values()):
-            if end.at <= suspect.cleared_at:
-                self.remove_end(suspect, end.server)
-        suspect.blocked = suspect.blocked and bool(suspect.ends)
+        for crash in list(suspect.crashes.values()):
+            if crash.at <= suspect.cleared_at:
+                self.remove_crash(suspect, crash.server)
+        suspect.blocked = suspect.blocked and bool(suspect.crashes)
 
-    def remove_end(self, suspect, server):
+    def remove_crash(self, suspect, server):
         """Take one end away from a request."""
-        del suspect.ends[server]
+        del suspect.crashes[server]
         others = self.by_server.get(server, set())
         others.discard(suspect.fingerprint)
         if not others:
             self.by_server.pop(server, None)
-        self.kept_digest = NOTHING
+        self.cached_digest = NOTHING
 
-    def merge(self, told, now):
+    def merge(self, remote, now):
         """Take over what another host knows of a request.
 
         Args:
-            told: The `Suspect`, in times of this host.
+            remote: The `Suspect`, in times of this host.
             now: The time.
 
         Returns:
             Whether anything of it is news.
         """
         news = False
-        if told.cleared_at is not NOTHING and now - told.cleared_at <= KEPT:
-            news = self.merge_cleared(told)
-        for end in told.ends.values():
-            news = self.note_end(told.fingerprint, end, now) or news
-        suspect = self.suspects.get(told.fingerprint)
-        if told.blocked and suspect and suspect.ends and not suspect.blocked:
+        if (
+            remote.cleared_at is not NOTHING
+            and now - remote.cleared_at <= RETENTION_SECONDS
+        ):
+            news = self.merge_success(remote)
+        for crash in remote.crashes.values():
+            news = self.record_crash(remote.fingerprint, crash, now) or news
+        suspect = self.suspects.get(remote.fingerprint)
+        if (
+            remote.blocked
+            and suspect
+            and suspect.crashes
+            and not suspect.blocked
+        ):
             self.block(suspect)
             news = True
         return news
 
-    def merge_cleared(self, told):
+    def merge_success(self, remote):
         """Take over that a request ran well; return whether it is news."""
-        suspect = self.suspects.get(told.fingerprint)
+        suspect = self.suspects.get(remote.fingerprint)
         if suspect is None:
             return False
         known = suspect.cleared_at
-        if known is not NOTHING and told.cleared_at <= known + SETTLE:
+        if (
+            known is not NOTHING
+            and remote.cleared_at <= known + REPORT_DELAY_SECONDS
+        ):
             return False
-        self.clear(suspect, told.cleared_at)
+        self.clear(suspect, remote.cleared_at)
         return True
 
     def block(self, suspect):
         """Hold a request to be the cause of the ends under it."""
         suspect.blocked = True
-        suspect.for_all = True
-        self.kept_digest = NOTHING
+        suspect.shared_with_all = True
+        self.cached_digest = NOTHING
 
     def verdict(self, fingerprint, caller, now):
         """Return the `Verdict` on a request of a caller."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            return Verdict.FREE
+            return Verdict.ALLOWED
         found = Verdict.BLOCKED
         if not suspect.blocked:
-            found = self.verdict_on(suspect, now)
+            found = self.assess_unblocked(suspect, now)
         if found is Verdict.BLOCKED and not suspect.is_blocked_for(caller):
-            return Verdict.ALONE
+            return Verdict.ISOLATED
         return found
 
-    def verdict_on(self, suspect, now):
+    def assess_unblocked(self, suspect, now):
         """Return the `Verdict` on one that is not held to be the cause."""
         own = self.unexplained(suspect)
         weight = len(own)
-        if own and len(suspect.ends) - len(own) >= ENDS_TO_SEPARATE:
-            weight += EXPLAINED_WEIGHT
-        if weight < ENDS_TO_SEPARATE:
-            return Verdict.FREE
-        if weight < ENDS_TO_BLOCK:
-            return Verdict.ALONE
-        if now - suspect.newest < SETTLE:
-            return Verdict.HELD
-        return Verdict.ALONE if self.rivals(suspect, own) else Verdict.BLOCKED
+        if own and len(suspect.crashes) - len(own) >= CRASHES_TO_ISOLATE:
+            weight += EXPLAINED_CRASH_WEIGHT
+        if weight < CRASHES_TO_ISOLATE:
+            return Verdict.ALLOWED
+        if weight < CRASHES_TO_BLOCK:
+            return Verdict.ISOLATED
+        if now - suspect.last_event_at < REPORT_DELAY_SECONDS:
+            return Verdict.DEFERRED
+        return (
+            Verdict.ISOLATED
+            if self.equally_suspect(suspect, own)
+            else Verdict.BLOCKED
+        )
 
     def unexplained(self, suspect):
         """Return the ends of a request that no blocked one explains."""
-        return {server for server in suspect.ends if not self.blamed(server)}
+        return {
+            server
+            for server in suspect.crashes
+            if not self.has_blocked_request(server)
+        }
 
-    def blamed(self, server):
+    def has_blocked_request(self, server):
         """Whether a blocked request was at a server that ended."""
         return any(
             self.suspects[one].blocked
             for one in self.by_server.get(server, ())
         )
 
-    def rivals(self, suspect, servers):
+    def equally_suspect(self, suspect, servers):
         """Return the other requests that may as well be the cause.
 
         These met as many ends, two of these among them. One that was only
@@ -306,11 +325,11 @@
         return [
             one
             for one, count in shared.items()
-            if count >= ENDS_TO_SEPARATE
+            if count >= CRASHES_TO_ISOLATE
             and len(self.unexplained(self.suspects[one])) >= len(servers)
         ]
 
-    def judge(self, now):
+    def block_causes(self, now):
         """Block the requests that are now found to be the cause.
 
         Returns:
@@ -320,14 +339,15 @@
             (
                 suspect
                 for suspect in self.suspects.values()
-                if len(suspect.ends) >= ENDS_TO_BLOCK and not suspect.blocked
+                if len(suspect.crashes) >= CRASHES_TO_BLOCK
+                and not suspect.blocked
             ),
-            key=lambda one: (-len(one.ends), one.fingerprint),
+            key=lambda one: (-len(one.crashes), one.fingerprint),
         )
         found = []
         for suspect in most_first:
             # A request blocked just before may explain the ends of the next.
-            if self.verdict_on(suspect, now) is Verdict.BLOCKED:
+            if self.assess_unblocked(suspect, now) is Verdict.BLOCKED:
                 self.block(suspect)
                 found.append(suspect)
         return found
@@ -335,30 +355,30 @@
     def expire(self, now):
         """Forget what is too old."""
         for suspect in list(self.suspects.values()):
-            if now - suspect.newest > KEPT:
+            if now - suspect.last_event_at > RETENTION_SECONDS:
                 self.forget(suspect)
 
     def forget(self, suspect):
         """Forget one request."""
-        for server in list(suspect.ends):
-            self.remove_end(suspect, server)
+        for server in list(suspect.crashes):
+            self.remove_crash(suspect, server)
         self.suspects.pop(suspect.fingerprint, None)
 
-    def bound(self):
+    def evict_excess(self):
         """Forget a tenth, the least suspect ones, if there are too many."""
-        if len(self.suspects) <= MOST_SUSPECTS:
+        if len(self.suspects) <= MAX_SUSPECTS:
             return
         least_first = sorted(
             self.suspects.values(),
-            key=lambda one: (one.blocked, len(one.ends), one.newest),
+            key=lambda one: (one.blocked, len(one.crashes), one.last_event_at),
         )
-        for suspect in least_first[: MOST_SUSPECTS // 10]:
+        for suspect in least_first[: MAX_SUSPECTS // 10]:
             self.forget(suspect)
 
-    def told_to_all(self):
+    def suspects_for_all(self):
         """Return each `Suspect` that every host must know, newest first."""
-        found = [one for one in self.suspects.values() if one.for_all]
-        return sorted(found, key=lambda one: -one.newest)
+        found = [one for one in self.suspects.values() if one.shared_with_all]
+        return sorted(found, key=lambda one: -one.last_event_at)
 
     @property
     def digest(self):
@@ -366,18 +386,18 @@
 
         Only what every host must know counts; 0 stands for nothing.
         """
-        if self.kept_digest is NOTHING:
+        if self.cached_digest is NOTHING:
             rows = sorted(
-                (one.fingerprint, sorted(one.ends), one.blocked)
-                for one in self.told_to_all()
-                if one.ends
+                (one.fingerprint, sorted(one.crashes), one.blocked)
+                for one in self.suspects_for_all()
+                if one.crashes
             )
-            self.kept_digest = hash_text(repr(rows)) if rows else 0
-        return self.kept_digest
+            self.cached_digest = hash_text(repr(rows)) if rows else 0
+        return self.cached_digest
 
 
-def is_cleared(suspect, end):
+def is_cleared(suspect, crash):
     """Whether a request ran well after an end."""
     if suspect.cleared_at is NOTHING:
         return False
-    return end.at <= suspect.cleared_at
+    return crash.at <= suspect.cleared_at
--- a/src/hyssopspring/traffic/members.py
+++ b/src/hyssopspring/traffic/members.py
@@ -6,59 +6,65 @@
 from ..core.hashing import hash_text, short_id
 from ..core.sentinels import NOTHING
 
-__all__ = ["CONTACT_AGE", "SETTLED", "Member", "Members", "Report"]
-
-SILENCE = 2.6
+__all__ = [
+    "MAX_CONTACT_AGE_SECONDS",
+    "PLACER_WARMUP_SECONDS",
+    "Member",
+    "Members",
+    "Subscription",
+]
+
+HEARTBEAT_TIMEOUT_SECONDS = 2.6
 """Seconds without a heartbeat after which a host counts as gone: four
 heartbeats of its region are lost or late by then."""
 
-TOLD_SILENCE = 5.2
+INDIRECT_TIMEOUT_SECONDS = 5.2
 """Seconds after which a host of the region counts as gone that only other
 hosts tell of, unless these say so. When all that tell of it go at once,
 the next ones are found, heard and tell of it in 5.0 s at most."""
 
-FAR_SILENCE = 8.0
+REMOTE_TIMEOUT_SECONDS = 8.0
 """Seconds after which a host of another region counts as gone: word of it
 passes through two hosts, each of which speaks every two seconds, and one
 word may be lost."""
 
-REGION_SILENCE = 4.8
+REGION_TIMEOUT_SECONDS = 4.8
 """Seconds without word of any host of a region after which nothing is sent
 there: it may be cut off. Word of it is up to 4.2 s old on hosts that do
 not place."""
 
-LEARNING = 3.0
+STARTUP_DISCOVERY_SECONDS = 3.0
 """Seconds after a start in which the hosts that the store names are taken
 to live too. Only those would be named to callers else that a host has
 heard by then, which are the same three for all hosts of a region."""
 
-REGIONS_FOR = 0.1
+LIVE_REGIONS_CACHE_SECONDS = 0.1
 """Seconds for which the regions with live hosts are kept: each placement
 asks for them, and to look at two hundred hosts takes 0.05 ms."""
 
-PLACER_SILENCE = 1.3
+PLACER_TIMEOUT_SECONDS = 1.3
 """Seconds without a heartbeat after which a host is not asked to place."""
 
-SETTLED = 1.0
+PLACER_WARMUP_SECONDS = 1.0
 """Seconds after a start before a host places for others: until then it
 has not heard what the others have in progress."""
 
-CONTACT_AGE = 5.0
+MAX_CONTACT_AGE_SECONDS = 5.0
 """Seconds since a host last heard the registry after which others place
 before it, as it may not know which servers leave."""
 
-ASK_AGAIN = 3.0
+REPORT_RETRY_SECONDS = 3.0
 """Seconds after which a host that did not answer is reported to again."""
 
-AGE_ERROR = 0.2
+AGE_ERROR_SECONDS = 0.2
 """Seconds by which the age of a word is wrong that other hosts tell."""
 
-RESTART_SILENCE = 1.2
+RESTART_QUIET_SECONDS = 1.2
 """Seconds without word of a start of a host after which an earlier number
 of a start is believed: a host that runs is heard twice a second."""
 
 
-class Report(enum.IntEnum):
+class Subscription(enum.IntEnum):
     """What a host that sends a heartbeat wants from who gets it."""
 
     NONE = 0
@@ -86,7 +92,7 @@
         reporting_since: Time since when this host sends it heartbeats
             and should be answered, or `NOTHING`.
         reported_at: Time at which it last reported to this host.
-        wants: Its `Report`.
+        wants: Its `Subscription`.
         up_seconds: Seconds since its start.
         contact_age: Seconds since it heard the registry.
         version: Version of the configuration that it has.
@@ -107,50 +113,59 @@
     capacity: float = 1.0
     incarnation: int = 0
     leaving: bool = False
-    heard_at: object = NOTHING
-    told_at: object = NOTHING
+    last_heartbeat_at: object = NOTHING
+    reported_alive_at: object = NOTHING
     reporting_since: object = NOTHING
     reported_at: object = NOTHING
-    wants: Report = Report.NONE
+    subscription: Subscription = Subscription.NONE
     up_seconds: float = 0.0
     contact_age: float = 0.0
     version: int = 0
     revisions: tuple = (0, 0)
-    draw: tuple = field(init=False)
+    rank_key: tuple = field(init=False)
     id: int = field(init=False)
 
     def __post_init__(self):
         """Work out what follows from the name, once."""
-        self.draw = (-self.capacity, hash_text(self.name))
+        self.rank_key = (-self.capacity, hash_text(self.name))
         self.id = short_id(f"{self.name} {self.incarnation}")
 
     @property
-    def last_word_at(self):
+    def last_seen_at(self):
         """Time of the last sign of life, or `NOTHING`."""
-        if self.heard_at is NOTHING:
-            return self.told_at
-        if self.told_at is NOTHING:
-            return self.heard_at
-        return max(self.heard_at, self.told_at)
+        if self.last_heartbeat_at is NOTHING:
+            return self.reported_alive_at
+        if self.reported_alive_at is NOTHING:
+            return self.last_heartbeat_at
+        return max(self.last_heartbeat_at, self.reported_alive_at)
 
-    def told_within(self, seconds, now):
+    def reported_alive_within(self, seconds, now):
         """Whether others have heard it within *seconds*."""
-        return self.told_at is not NOTHING and now - self.told_at < seconds
+        return (
+            self.reported_alive_at is not NOTHING
+            and now - self.reported_alive_at < seconds
+        )
 
     def is_reporting(self, now):
         """Whether it counts on this host for news of the others."""
-        if self.reported_at is NOTHING or self.wants is Report.NONE:
+        if (
+            self.reported_at is NOTHING
+            or self.subscription is Subscription.NONE
+        ):
             return False
-        return now - self.reported_at < SILENCE
+        return now - self.reported_at < HEARTBEAT_TIMEOUT_SECONDS
 
     def is_ahead(self, version, revisions):
         """Whether it has something newer than what is given."""
         pairs = zip(self.revisions, revisions, strict=True)
         return self.version > version or any(a > b for a, b in pairs)
 
-    def heard_within(self, seconds, now):
+    def heartbeat_within(self, seconds, now):
         """Whether a heartbeat has come within *seconds*."""
-        return self.heard_at is not NOTHING and now - self.heard_at < seconds
+        return (
+            self.last_heartbeat_at is not NOTHING
+            and now - self.last_heartbeat_at < seconds
+        )
 
 
 class Members:
@@ -168,7 +183,7 @@
         self.live_regions = frozenset()
         self.live_regions_at = NOTHING
 
-    def learn(self, member, *, spoke_at=NOTHING):
+    def add(self, member, *, announced_at=NOTHING):
         """Take over the addresses of a host from the store or a peer.
 
         Starts are numbered by the time of day, which may step back. A
@@ -178,15 +193,15 @@
 
         Args:
             member: The `Member`.
-            spoke_at: Time of its own word, or `NOTHING` if others tell.
+            announced_at: Time of its own word, or `NOTHING` if others tell.
         """
         if member.name == self.own.name:
             return
         known = self.others.get(member.name)
-        if known is not None and not supersedes(member, known, spoke_at):
+        if known is not None and not supersedes(member, known, announced_at):
             return
         if known is not None:
-            member.heard_at = known.heard_at
+            member.last_heartbeat_at = known.last_heartbeat_at
             self.by_id.pop(known.id, None)
         self.others[member.name] = member
         self.by_id[member.id] = member
@@ -213,33 +228,36 @@
             found = [one for one in found if one.region == region]
         return found
 
-    def named(self, now, region=NOTHING):
+    def listed(self, now, region=NOTHING):
         """Return the hosts that callers of the directory are told of."""
         found = [one for one in self.live(now, region=region) if one.version]
-        if self.own.up_seconds >= LEARNING or self.own.leaving:
+        if (
+            self.own.up_seconds >= STARTUP_DISCOVERY_SECONDS
+            or self.own.leaving
+        ):
             return found
-        unheard = [
+        unseen = [
             member
             for member in self.others.values()
-            if member.last_word_at is NOTHING
+            if member.last_seen_at is NOTHING
             and region in (NOTHING, member.region)
         ]
-        return found + unheard
+        return found + unseen
 
     def is_up(self, member, now):
         """Whether another host was heard of lately."""
-        if member.heard_within(SILENCE, now):
+        if member.heartbeat_within(HEARTBEAT_TIMEOUT_SECONDS, now):
             return True
-        if heard_here_last(member):
+        if last_seen_directly(member):
             return False
         if member.region == self.own.region:
-            return member.told_within(TOLD_SILENCE, now)
-        return member.told_within(FAR_SILENCE, now)
+            return member.reported_alive_within(INDIRECT_TIMEOUT_SECONDS, now)
+        return member.reported_alive_within(REMOTE_TIMEOUT_SECONDS, now)
 
     def regions(self, now):
         """Return the regions in which hosts live."""
         at = self.live_regions_at
-        if at is NOTHING or not 0 <= now - at < REGIONS_FOR:
+        if at is NOTHING or not 0 <= now - at < LIVE_REGIONS_CACHE_SECONDS:
             self.live_regions_at = now
             self.live_regions = self.find_regions(now)
         return self.live_regions
@@ -250,8 +268,8 @@
             member.region
             for member in self.others.values()
             if not member.leaving
-            and member.last_word_at is not NOTHING
-            and now - member.last_word_at < REGION_SILENCE
+            and member.last_seen_at is not NOTHING
+            and now - member.last_seen_at < REGION_TIMEOUT_SECONDS
         }
         if not self.own.leaving:
             found.add(self.own.region)
@@ -262,7 +280,8 @@
         found = [
             member
             for member in self.others.values()
-            if member.leaving and member.heard_within(PLACER_SILENCE, now)
+            if member.leaving
+            and member.heartbeat_within(PLACER_TIMEOUT_SECONDS, now)
         ]
         if self.own.leaving:
             found.append(self.own)
@@ -279,7 +298,7 @@
             member
             for member in self.others.values()
             if member.region == self.own.region
-            and member.heard_within(PLACER_SILENCE, now)
+            and member.heartbeat_within(PLACER_TIMEOUT_SECONDS, now)
         ]
         able.append(self.own)
         return sorted(able, key=placer_rank)
@@ -295,7 +314,9 @@
             key=lambda one: (not self.is_up(one, now), placer_rank(one)),
         )
 
-    def contacts(self, now, region, most, silence=PLACER_SILENCE):
+    def report_targets(
+        self, now, region, max_count, silence=PLACER_TIMEOUT_SECONDS
+    ):
         """Return the hosts of *region* to report to.
 
         These are the best ones that answer. Their number does not grow
@@ -304,23 +325,25 @@
         Args:
             now: The time.
             region: The region.
-            most: How many.
+            max_count: How many.
             silence: Seconds within which a host must answer.
         """
         chosen = []
         for member in self.ranked(now, region):
-            full = len(chosen) == most
-            spread = full and apart(member, chosen)
-            if (full and not spread) or not answers(member, now, silence):
+            full = len(chosen) == max_count
+            diversifies = full and adds_data_centre(member, chosen)
+            if (full and not diversifies) or not is_responsive(
+                member, now, silence
+            ):
                 if full:
                     member.reporting_since = NOTHING
                 continue
-            if spread:
+            if diversifies:
                 chosen.pop().reporting_since = NOTHING
             chosen.append(member)
         return chosen
 
-    def probed(self, now, region, turn):
+    def probe_targets(self, now, region, turn):
         """Return the hosts of *region* to report to besides.
 
         After a cut, groups of hosts may be left of which each finds its
@@ -352,13 +375,13 @@
             if member.is_reporting(now)
         ]
 
-    def forget_silent(self, now, after):
+    def remove_silent(self, now, after):
         """Drop the hosts not heard for *after* seconds; return them."""
         gone = [
             member
             for member in self.others.values()
-            if member.last_word_at is not NOTHING
-            and now - member.last_word_at > after
+            if member.last_seen_at is not NOTHING
+            and now - member.last_seen_at > after
         ]
         for member in gone:
             del self.others[member.name]
@@ -374,7 +397,7 @@
     return member.control.rpartition(":")[0]
 
 
-def apart(member, chosen):
+def adds_data_centre(member, chosen):
     """Whether a host stands apart from others that stand together.
 
     Hosts of one data centre lose their power together.
@@ -383,29 +406,35 @@
     return len(places) == 1 and member.data_centre not in places
 
 
-def heard_here_last(member):
+def last_seen_directly(member):
     """Whether its last word was a report to this host.
 
     A report is sent twice a second, so its absence tells. No other host
     may have heard it later.
     """
-    if member.told_at is NOTHING or member.heard_at is NOTHING:
+    if (
+        member.reported_alive_at is NOTHING
+        or member.last_heartbeat_at is NOTHING
+    ):
         return False
-    if member.reported_at != member.heard_at:
+    if member.reported_at != member.last_heartbeat_at:
         return False
-    return member.told_at <= member.heard_at + AGE_ERROR
+    return (
+        member.reported_alive_at
+        <= member.last_heartbeat_at + AGE_ERROR_SECONDS
+    )
 
 
-def supersedes(member, known, spoke_at):
+def supersedes(member, known, announced_at):
     """Whether *member* is a newer start of the host that is *known*."""
     if member.incarnation >= known.incarnation:
         return member.incarnation > known.incarnation
-    if spoke_at is NOTHING or known.last_word_at is NOTHING:
-        return spoke_at is not NOTHING
-    return spoke_at - known.last_word_at > RESTART_SILENCE
+    if announced_at is NOTHING or known.last_seen_at is NOTHING:
+        return announced_at is not NOTHING
+    return announced_at - known.last_seen_at > RESTART_QUIET_SECONDS
 
 
-def answers(member, now, silence):
+def is_responsive(member, now, silence):
     """Whether a host answers reports, or may still do so.
 
     One that does not is passed over, and tried again after a while.
@@ -413,9 +442,9 @@
     if member.reporting_since is NOTHING:
         member.reporting_since = now
     last = member.reporting_since
-    if member.heard_at is not NOTHING:
-        last = max(last, member.heard_at)
-    if now - last > silence + ASK_AGAIN:
+    if member.last_heartbeat_at is not NOTHING:
+        last = max(last, member.last_heartbeat_at)
+    if now - last > silence + REPORT_RETRY_SECONDS:
         member.reporting_since = last = now
     return now - last <= silence
 
@@ -424,7 +453,7 @@
     """Return the sort key by which hosts are asked to place."""
     return (
         member.leaving,
-        member.contact_age > CONTACT_AGE,
-        member.up_seconds < SETTLED,
-        member.draw,
+        member.contact_age > MAX_CONTACT_AGE_SECONDS,
+        member.up_seconds < PLACER_WARMUP_SECONDS,
+        member.rank_key,
     )
--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -6,7 +6,6 @@
 from .coldrates import ColdRates
 from .decisions import Placed, Refused, urgency_of
 from .decoding import DecodingFigures
-from .evidence import NOT_SENT, Evidence, Finding
 from .margins import Margin
 from .mechanisms import Mechanism
 from .models import make_work
@@ -17,6 +16,7 @@
     RegionLoad,
     Room,
 )
+from .serverhealth import NOT_SENT, AttemptResult, ServerHealth
 from .serverlimits import ServerLimits
 from .servers import Usability
 from .work import Inquiry, Ticket, crowding
@@ -79,7 +79,7 @@
     Attributes:
         server: The `Server`.
         work: The model of its work.
-        evidence: The `Evidence` on it.
+        evidence: The `ServerHealth` on it.
     """
 
     server: object
@@ -292,8 +292,8 @@
                 and self.too_cold(view.server, now, cold_allowed)
             )
             and not (
-                self.limits.named
-                and not self.limits.is_free(view.server.entry.id, now)
+                self.limits.by_server
+                and not self.limits.can_send(view.server.entry.id, now)
             )
             and not (now < self.cautious_until and is_unheard(view))
         ]
@@ -379,26 +379,28 @@
         held = self.held_by_limits(ask, now)
         if not held:
             refused = self.refuse(ask, NO_SERVER_WAIT, 0)
-            evidence = self.registry.who_left(ask.service, self.region, now)
+            evidence = self.registry.describe_leaving(
+                ask.service, self.region, now
+            )
             return replace(refused, evidence=evidence)
         most = MOST_RETRY * (1.0 + SPREAD * self.rng.random())
-        promise = self.limits.promise(ask.service, held, now, most)
-        evidence = self.limits.evidence(promise.server_id, now)
+        promise = self.limits.advise_retry(ask.service, held, now, most)
+        evidence = self.limits.describe(promise.server_id, now)
         seconds = promise.seconds
         return Refused(max(LEAST_RETRY, seconds), seconds, 0, evidence)
 
     def held_by_limits(self, ask, now):
         """Return the servers that could be used but for their limits."""
-        if not self.limits.named:
+        if not self.limits.by_server:
             return []
         if ask.regions and self.region not in ask.regions:
             return []
         return [
             view.server.entry.id
             for view in self.views_of(ask.service, now)
-            if view.evidence.open(now)
+            if view.evidence.is_available(now)
             and view.server.entry.id not in ask.excluded
-            and not self.limits.is_free(view.server.entry.id, now)
+            and not self.limits.can_send(view.server.entry.id, now)
         ]
 
     def refuse(self, ask, predicted, servers):
@@ -430,11 +432,11 @@
         self.keep(ticket)
         work.begin(ticket, ask.demand)
         self.cold_rates.count(entry.id, now)
-        self.limits.take(entry.id, now)
+        self.limits.consume(entry.id, now)
         self.evidence_of(entry.id).begin_trial(now)
         cold = server.usability(now) is Usability.COLD
         source = offer.copy_from if offer.copied else ""
-        evidence = self.limits.evidence(entry.id, now)
+        evidence = self.limits.describe(entry.id, now)
         return Placed(
             entry.id,
             entry.address,
@@ -457,7 +459,7 @@
             margin.learn(ticket.predicted, seconds)
         if work is not None:
             work.start(ticket, seconds, now)
-            self.evidence_of(ticket.server_id).note_answer(now)
+            self.evidence_of(ticket.server_id).record_answer(now)
 
     def note_end(self, host, number, server_id, finding, now):
         """Take account of the end of an attempt.
@@ -466,13 +468,13 @@
             Whether its server is now newly suspected.
         """
         placed_here = self.drop(
-            host, number, now, whole=finding is Finding.ANSWERED
+            host, number, now, whole=finding is AttemptResult.ANSWERED
         )
         if placed_here and finding in NOT_SENT:
-            self.limits.give_back(server_id)
+            self.limits.refund(server_id)
         if server_id not in self.registry.servers:
             return False
-        return self.evidence_of(server_id).note(finding, now)
+        return self.evidence_of(server_id).record_result(finding, now)
 
     def drop(self, host, number, now, *, whole=False):
         """Forget one placed request.
@@ -570,7 +572,7 @@
         for server in self.registry.servers.values():
             if server.region != self.region or not self.tells(server, now):
                 continue
-            spare = self.limits.spare(server.entry.id, now)
+            spare = self.limits.available(server.entry.id, now)
             if spare == 0:
                 continue
             name = server.entry.service
@@ -594,7 +596,7 @@
         server_id = server.entry.id
         if self.registry.usability(server_id, now) is not Usability.READY:
             return False
-        return self.evidence_of(server_id).open(now)
+        return self.evidence_of(server_id).is_available(now)
 
     def take_load(self, region, loads, now):
         """Take over another region's report."""
@@ -640,10 +642,10 @@
         return self.decoding.setdefault(service, DecodingFigures())
 
     def evidence_of(self, server_id):
-        """Return the `Evidence` on a server."""
+        """Return the `ServerHealth` on a server."""
         evidence = self.evidence.get(server_id)
         if evidence is None:
-            evidence = self.evidence[server_id] = Evidence()
+            evidence = self.evidence[server_id] = ServerHealth()
         return evidence
 
 
--- a/src/hyssopspring/traffic/retries.py
+++ b/src/hyssopspring/traffic/retries.py
@@ -2,17 +2,17 @@
 
 from collections import deque
 
-__all__ = ["RetryWindow"]
+__all__ = ["WindowedRetryBudget"]
 
-USED_RATIO = 0.75
+RATIO_FRACTION = 0.75
 """Part of the allowed ratio that is used; the rest covers requests that
 are counted by another clock than ours."""
 
-USED_EXTRA = 0.7
+EXTRA_FRACTION = 0.7
 """Part of the allowed extra attempts that all hosts share out."""
 
 
-class RetryWindow:
+class WindowedRetryBudget:
     """Allow repeats as a share of the requests of a sliding window.
 
     When most attempts fail, each host that repeats multiplies the load
@@ -27,16 +27,16 @@
     """
 
     def __init__(self, ratio, extra, window):
-        self.ratio = ratio * USED_RATIO
-        self.extra = extra * USED_EXTRA
+        self.ratio = ratio * RATIO_FRACTION
+        self.extra = extra * EXTRA_FRACTION
         self.window = window
-        self.first = {}
+        self.requests = {}
         self.repeats = {}
 
-    def note_request(self, service, now):
+    def record_request(self, service, now):
         """Count a request of a caller."""
-        self.first.setdefault(service, deque()).append(now)
-        self.trim(self.first[service], now)
+        self.requests.setdefault(service, deque()).append(now)
+        self.trim(self.requests[service], now)
 
     def spend(self, service, now, hosts):
         """Take one repeat.
@@ -49,11 +49,11 @@
         Returns:
             Whether there was one to take.
         """
-        first = self.first.setdefault(service, deque())
+        requests = self.requests.setdefault(service, deque())
         repeats = self.repeats.setdefault(service, deque())
-        self.trim(first, now)
+        self.trim(requests, now)
         self.trim(repeats, now)
-        allowed = self.ratio * len(first) + self.extra / max(1, hosts)
+        allowed = self.ratio * len(requests) + self.extra / max(1, hosts)
         if len(repeats) + 1 > allowed:
             return False
         repeats.append(now)
--- a/src/hyssopspring/traffic/rests.py
+++ b/src/hyssopspring/traffic/retryafter.py
@@ -4,13 +4,13 @@
 
 from ..core.sentinels import NOTHING
 
-__all__ = ["Rest", "Rests"]
+__all__ = ["RetryAfterPause", "RetryAfterPauses"]
 
-LONGEST_REST = 60.0
+MAX_PAUSE_SECONDS = 60.0
 """Seconds of rest that are believed; one request a minute shows whether a
 server that asked for more takes work again."""
 
-RAMP_STEP = 0.25
+RAMP_STEP_SECONDS = 0.25
 RAMP_SECONDS = 1.0
 """After a rest a host sends one request, and twice as many with each step,
 for so many seconds. All that had waited would come at once else."""
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Rest:
+class RetryAfterPause:
     """A rest of one server.
 
     Attributes:
@@ -33,24 +33,24 @@
     """
 
     server_id: str
-    start: str
+    instance_id: str
     until: float
-    asked_at: float
+    requested_at: float
     request: str
     sent: int = 0
 
-    def is_closed(self, now):
+    def is_blocked(self, now):
         """Whether the host is to send nothing now."""
         since = now - self.until
         if since < 0:
             return True
-        return self.sent >= 2 ** int(since / RAMP_STEP)
+        return self.sent >= 2 ** int(since / RAMP_STEP_SECONDS)
 
-    def evidence(self, now):
+    def describe(self, now):
         """Return who asked for it and when, for a log line."""
         return (
             f"{self.server_id} rests for {max(0.0, self.until - now):.1f} s, "
-            f"asked {now - self.asked_at:.1f} s ago as it turned "
+            f"asked {now - self.requested_at:.1f} s ago as it turned "
             f"{self.request} away"
         )
 
@@ -59,7 +59,7 @@
         return now - self.until >= RAMP_SECONDS
 
 
-class Rests:
+class RetryAfterPauses:
     """The rests that servers asked this host for.
 
     A server asks only the host that it answers; others may go on.
@@ -72,61 +72,61 @@
     def __init__(self, registry, rng):
         self.registry = registry
         self.rng = rng
-        self.rests = {}
+        self.pauses = {}
 
-    def note(self, server_id, request, seconds, now):
+    def record(self, server_id, request, seconds, now):
         """Note that a server asked for rest.
 
         Returns:
             Whether it was not at rest before.
         """
-        until = now + min(seconds, LONGEST_REST)
-        known = self.current(server_id, now)
-        if known is not NOTHING and now < known.until:
-            known.until = max(known.until, until)
+        until = now + min(seconds, MAX_PAUSE_SECONDS)
+        active = self.pause_of(server_id, now)
+        if active is not NOTHING and now < active.until:
+            active.until = max(active.until, until)
             return False
-        self.rests[server_id] = Rest(
+        self.pauses[server_id] = RetryAfterPause(
             server_id=server_id,
-            start=self.registry.start_of(server_id),
+            instance_id=self.registry.current_instance(server_id),
             until=until,
-            asked_at=now,
+            requested_at=now,
             request=request,
         )
         return True
 
-    def current(self, server_id, now):
-        """Return the `Rest` of a server, or `NOTHING`."""
-        rest = self.rests.get(server_id, NOTHING)
-        if rest is NOTHING:
+    def pause_of(self, server_id, now):
+        """Return the `RetryAfterPause` of a server, or `NOTHING`."""
+        pause = self.pauses.get(server_id, NOTHING)
+        if pause is NOTHING:
             return NOTHING
-        if rest.is_over(now) or not self.registry.is_known(
-            server_id, rest.start
+        if pause.is_over(now) or not self.registry.is_current_instance(
+            server_id, pause.instance_id
         ):
-            del self.rests[server_id]
+            del self.pauses[server_id]
             return NOTHING
-        return rest
+        return pause
 
-    def is_closed(self, server_id, now):
+    def is_blocked(self, server_id, now):
         """Whether this host is to send a server nothing now."""
-        rest = self.current(server_id, now)
-        return rest is not NOTHING and rest.is_closed(now)
+        pause = self.pause_of(server_id, now)
+        return pause is not NOTHING and pause.is_blocked(now)
 
-    def closed(self, now):
+    def blocked(self, now):
         """Return the servers to which this host is to send nothing now."""
-        return [one for one in list(self.rests) if self.is_closed(one, now)]
+        return [one for one in list(self.pauses) if self.is_blocked(one, now)]
 
-    def at_rest(self, now):
+    def count_blocked(self, now):
         """Return how many servers this host leaves alone."""
-        return len(self.closed(now))
+        return len(self.blocked(now))
 
-    def count(self, server_id, now):
+    def record_sent(self, server_id, now):
         """Count a request that is sent to a server after its rest."""
-        rest = self.current(server_id, now)
-        if rest is not NOTHING:
-            rest.sent += 1
+        pause = self.pause_of(server_id, now)
+        if pause is not NOTHING:
+            pause.sent += 1
 
-    def first_back(self, server_ids, now):
-        """Return the `Rest` that ends first, or `NOTHING`.
+    def first_to_end(self, server_ids, now):
+        """Return the `RetryAfterPause` that ends first, or `NOTHING`.
 
         Args:
             server_ids: The servers that could be used but for their rests.
@@ -135,14 +135,14 @@
         Returns:
             `NOTHING` unless all of them are closed.
         """
-        rests = [self.current(one, now) for one in server_ids]
-        if not rests or NOTHING in rests:
+        pauses = [self.pause_of(one, now) for one in server_ids]
+        if not pauses or NOTHING in pauses:
             return NOTHING
-        if not all(rest.is_closed(now) for rest in rests):
+        if not all(pause.is_blocked(now) for pause in pauses):
             return NOTHING
-        return min(rests, key=lambda rest: rest.until)
+        return min(pauses, key=lambda pause: pause.until)
 
-    def wait(self, rest, now):
+    def retry_delay(self, pause, now):
         """Return the seconds after which a refused caller may come back."""
         spread = SPREAD_SECONDS * self.rng.random()
-        return max(0.0, rest.until - now) + spread
+        return max(0.0, pause.until - now) + spread
--- a/src/hyssopspring/traffic/routes.py
+++ b/src/hyssopspring/traffic/routes.py
@@ -17,7 +17,7 @@
     "WeightedService",
 ]
 
-SPLIT_STEPS = 10_000
+SPLIT_RESOLUTION = 10_000
 
 
 class RequestKind(enum.Enum):
@@ -95,7 +95,9 @@
         if len(self.services) == 1:
             return self.services[0].service
         total = sum(share.weight for share in self.services)
-        point = hash_text(request_id) % SPLIT_STEPS / SPLIT_STEPS * total
+        point = (
+            hash_text(request_id) % SPLIT_RESOLUTION / SPLIT_RESOLUTION * total
+        )
         for share in self.services:
             point -= share.weight
             if point < 0:
--- a/src/hyssopspring/traffic/serverlimits.py
+++ b/src/hyssopspring/traffic/serverlimits.py
@@ -19,11 +19,11 @@
 UNLIMITED = math.inf
 """Limit of a server that names none any more."""
 
-LEAST_LIMIT = 0.1
+MIN_LIMIT = 0.1
 """Requests a second that a server gets although it names less: only an
 answer can tell that it takes more again."""
 
-HELD_FOR = 1.0
+LIMIT_HOLD_SECONDS = 1.0
 """Seconds for which the lowest of several limits holds. Answers overtake
 each other on their way, and on the way between hosts."""
 
@@ -31,27 +31,27 @@
 """Seconds of a limit that may be let through at once, besides one request.
 The rest of what servers tolerate covers hosts that begin to place."""
 
-PART_FACTOR = 1.25
-PART_EXTRA = 0.5
+SHARE_FACTOR = 1.25
+SHARE_EXTRA_RATE = 0.5
 """What a host that counts for a part of the region may use of that part, and
 requests a second for a whole region besides. Servers tolerate more in all;
 without it, half of a limit would lie idle after the loss of a host."""
 
-LEAST_RATE = 0.001
+MIN_RATE = 0.001
 """Requests a second below which times are not told any longer."""
 
-SMALL_BURST = 0.25
+MIN_REFILL_BURST = 0.25
 """Burst below which a bucket is not filled while nobody asks: each of many
 hosts would hold one request ready."""
 
-IDLE = 2.0
+IDLE_SECONDS = 2.0
 """Seconds without a question after which that is so."""
 
-UNKNOWN_KEPT = 5.0
+UNKNOWN_SERVER_RETENTION_SECONDS = 5.0
 """Seconds for which the limit of a server is kept without its entry; word
 of the server may come before it."""
 
-ENDED_KEPT = 10.0
+ENDED_LIMIT_RETENTION_SECONDS = 10.0
 """Seconds for which the end of a limit is remembered, so that a host that
 missed it does not bring the limit back."""
 
@@ -70,7 +70,7 @@
     """
 
     server_id: str
-    start: str
+    instance_id: str
     limit: float
     at: float
     host: str = ""
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class RetryAdvice:
     """When a refused caller may come back.
 
     Attributes:
@@ -102,11 +102,11 @@
 
     level: float
     at: float
-    asked_at: float
+    last_read_at: float
 
 
 @dataclass(slots=True, eq=False)
-class Named:
+class ServerLimit:
     """The limit of one server.
 
     Attributes:
@@ -130,10 +130,10 @@
 
     def limit(self, now):
         """Return the requests a second that may be sent."""
-        while self.recent and now - self.recent[0][0] > HELD_FOR:
+        while self.recent and now - self.recent[0][0] > LIMIT_HOLD_SECONDS:
             self.recent.popleft()
         lowest = min((limit for _, limit in self.recent), default=UNLIMITED)
-        return max(LEAST_LIMIT, min(lowest, self.newest.limit))
+        return max(MIN_LIMIT, min(lowest, self.newest.limit))
 
 
 class ServerLimits:
@@ -148,37 +148,40 @@
     def __init__(self, weight, rng):
         self.weight = weight
         self.rng = rng
-        self.named = {}
-        self.promised = {}
+        self.by_server = {}
+        self.next_retry_at = {}
         self.digest = 0
 
-    def hear(self, notice, now):
+    def apply_notice(self, notice, now):
         """Take a `LimitNotice`.
 
         Returns:
             Whether the server names another limit than was known.
         """
-        named = self.named.get(notice.server_id)
-        if named is not None and named.newest.start != notice.start:
-            named = None
-        if named is None:
-            return notice.limit < UNLIMITED and self.begin(notice, now)
-        named.add(notice)
-        if notice.at < named.newest.at:
+        state = self.by_server.get(notice.server_id)
+        if (
+            state is not None
+            and state.newest.instance_id != notice.instance_id
+        ):
+            state = None
+        if state is None:
+            return notice.limit < UNLIMITED and self.add_limit(notice, now)
+        state.add(notice)
+        if notice.at < state.newest.at:
             return False
-        before = named.newest.limit
+        before = state.newest.limit
         if before == UNLIMITED and notice.limit < UNLIMITED:
-            named.bucket = self.new_bucket(now)
-        named.newest = notice
-        self.count_digest()
+            state.bucket = self.new_bucket(now)
+        state.newest = notice
+        self.update_digest()
         return notice.limit != before
 
-    def begin(self, notice, now):
+    def add_limit(self, notice, now):
         """Keep a limit that was not known; return True."""
-        named = Named(notice, self.new_bucket(now))
-        named.add(notice)
-        self.named[notice.server_id] = named
-        self.count_digest()
+        state = ServerLimit(notice, self.new_bucket(now))
+        state.add(notice)
+        self.by_server[notice.server_id] = state
+        self.update_digest()
         return True
 
     def new_bucket(self, now):
@@ -189,23 +192,23 @@
         """
         return Bucket(self.rng.random(), now, now)
 
-    def count_digest(self):
+    def update_digest(self):
         """Note anew what sums up all limits that are named."""
         known = sorted(
-            f"{named.newest.start} {named.newest.limit}"
-            for named in self.named.values()
-            if named.newest.limit < UNLIMITED
+            f"{state.newest.instance_id} {state.newest.limit}"
+            for state in self.by_server.values()
+            if state.newest.limit < UNLIMITED
         )
         self.digest = hash_text("\n".join(known)) if known else 0
 
     def notices(self):
         """Return the newest `LimitNotice` of each server."""
-        return [named.newest for named in self.named.values()]
+        return [state.newest for state in self.by_server.values()]
 
     def forget(self, server_id):
         """Drop what a server named that is gone or has started anew."""
-        if self.named.pop(server_id, None) is not None:
-            self.count_digest()
+        if self.by_server.pop(server_id, None) is not None:
+            self.update_digest()
 
     def forget_unknown(self, known, now):
         """Drop limits of servers that are gone.
@@ -214,85 +217,91 @@
             known: Identifiers of the servers that are known.
             now: The time.
         """
-        for server_id, named in list(self.named.items()):
-            if server_id not in known and now - named.newest.at > UNKNOWN_KEPT:
+        for server_id, state in list(self.by_server.items()):
+            if (
+                server_id not in known
+                and now - state.newest.at > UNKNOWN_SERVER_RETENTION_SECONDS
+            ):
                 self.forget(server_id)
 
     def expire(self, now):
         """Drop limits that ended a while ago."""
-        ended = [
+        expired = [
             server_id
-            for server_id, named in self.named.items()
-            if named.newest.limit == UNLIMITED
-            and now - named.newest.at > ENDED_KEPT
+            for server_id, state in self.by_server.items()
+            if state.newest.limit == UNLIMITED
+            and now - state.newest.at > ENDED_LIMIT_RETENTION_SECONDS
         ]
-        for server_id in ended:
-            del self.named[server_id]
+        for server_id in expired:
+            del self.by_server[server_id]
 
     def limit_of(self, server_id, now):
         """Return the limit of a server in requests a second, or `NOTHING`."""
-        named = self.named.get(server_id)
-        if named is None:
+        state = self.by_server.get(server_id)
+        if state is None:
             return NOTHING
-        limit = named.limit(now)
+        limit = state.limit(now)
         return limit if limit < UNLIMITED else NOTHING
 
-    def in_force(self, now):
+    def count_limited(self, now):
         """Return how many servers have a limit."""
         return sum(
-            self.limit_of(one, now) is not NOTHING for one in self.named
+            self.limit_of(one, now) is not NOTHING for one in self.by_server
         )
 
-    def is_free(self, server_id, now):
+    def can_send(self, server_id, now):
         """Whether a server can be sent a request now."""
         limit = self.limit_of(server_id, now)
-        return limit is NOTHING or self.settle(server_id, limit, now) >= 1.0
+        return limit is NOTHING or self.refill(server_id, limit, now) >= 1.0
 
-    def take(self, server_id, now):
+    def consume(self, server_id, now):
         """Count a request that is sent to a server."""
         limit = self.limit_of(server_id, now)
         if limit is not NOTHING:
-            self.settle(server_id, limit, now)
-            self.named[server_id].bucket.level -= 1.0
+            self.refill(server_id, limit, now)
+            self.by_server[server_id].bucket.level -= 1.0
 
-    def give_back(self, server_id):
+    def refund(self, server_id):
         """Take back one that was counted and not sent."""
-        named = self.named.get(server_id)
-        if named is not None:
-            named.bucket.level += 1.0
+        state = self.by_server.get(server_id)
+        if state is not None:
+            state.bucket.level += 1.0
 
-    def settle(self, server_id, limit, now):
+    def refill(self, server_id, limit, now):
         """Add what the time has brought; return the level of the bucket."""
-        bucket = self.named[server_id].bucket
+        bucket = self.by_server[server_id].bucket
         weight = self.weight()
         burst = weight * (1.0 + limit * BURST_SECONDS)
-        if burst < SMALL_BURST and now - bucket.asked_at > IDLE:
+        if (
+            burst < MIN_REFILL_BURST
+            and now - bucket.last_read_at > IDLE_SECONDS
+        ):
             bucket.level = min(bucket.level, self.rng.random())
         else:
             seconds = max(0.0, now - bucket.at)
-            level = bucket.level + seconds * rate_of(limit, weight)
+            level = bucket.level + seconds * local_rate(limit, weight)
             bucket.level = min(level, max(1.0, burst))
-        bucket.at = bucket.asked_at = now
+        bucket.at = bucket.last_read_at = now
         return bucket.level
 
-    def spare(self, server_id, now):
+    def available(self, server_id, now):
         """Return the requests that a server takes at once, or `NOTHING`."""
         limit = self.limit_of(server_id, now)
         if limit is NOTHING:
             return NOTHING
-        return max(0, int(self.settle(server_id, limit, now)))
+        return max(0, int(self.refill(server_id, limit, now)))
 
-    def wait(self, server_id, now):
+    def seconds_until_free(self, server_id, now):
         """Return the seconds until a server can be sent a request."""
         limit = self.limit_of(server_id, now)
         if limit is NOTHING:
             return 0.0
-        missing = 1.0 - self.settle(server_id, limit, now)
-        rate = rate_of(limit, self.weight())
-        return max(0.0, missing) / max(rate, LEAST_RATE)
+        missing = 1.0 - self.refill(server_id, limit, now)
+        rate = local_rate(limit, self.weight())
+        return max(0.0, missing) / max(rate, MIN_RATE)
 
-    def promise(self, service, server_ids, now, most):
-        """Return the `Promise` to a caller who is refused.
+    def advise_retry(self, service, server_ids, now, max_seconds):
+        """Return the `RetryAdvice` to a caller who is refused.
 
         Callers who are refused one after the other are given one time
         after the other, as the servers take no more.
@@ -301,20 +310,23 @@
             service: The service that they need.
             server_ids: Its servers that a limit holds back.
             now: The time.
-            most: Longest time to tell, in seconds.
+            max_seconds: Longest time to tell, in seconds.
         """
-        waits = {one: self.wait(one, now) for one in server_ids}
+        waits = {one: self.seconds_until_free(one, now) for one in server_ids}
         first = min(waits, key=waits.get)
         weight = self.weight()
         rate = sum(
-            rate_of(self.named[one].limit(now), weight) for one in server_ids
+            local_rate(self.by_server[one].limit(now), weight)
+            for one in server_ids
         )
-        after = self.promised.get(service, now) + 1.0 / max(rate, LEAST_RATE)
-        at = min(now + most, max(now + waits[first], after))
-        self.promised[service] = at
-        return Promise(at - now, first)
+        after = self.next_retry_at.get(service, now) + 1.0 / max(
+            rate, MIN_RATE
+        )
+        at = min(now + max_seconds, max(now + waits[first], after))
+        self.next_retry_at[service] = at
+        return RetryAdvice(at - now, first)
 
-    def evidence(self, server_id, now):
+    def describe(self, server_id, now):
         """Return what named the limit of a server, for a log line.
 
         Returns:
@@ -322,7 +334,7 @@
         """
         if self.limit_of(server_id, now) is NOTHING:
             return ""
-        newest = self.named[server_id].newest
+        newest = self.by_server[server_id].newest
         return (
             f"{server_id} takes {newest.limit:g} a second, said "
             f"{now - newest.at:.1f} s ago to {newest.host} in the answer to "
@@ -330,11 +342,11 @@
         )
 
 
-def rate_of(limit, weight):
+def local_rate(limit, weight):
     """Return the requests a second that a host may let through.
 
     Args:
         limit: Requests a second that the server takes.
         weight: Part of the region's hosts that count on this one.
     """
-    return min(limit, weight * (limit * PART_FACTOR + PART_EXTRA))
+    return min(limit, weight * (limit * SHARE_FACTOR + SHARE_EXTRA_RATE))
--- a/src/hyssopspring/traffic/servers.py
+++ b/src/hyssopspring/traffic/servers.py
@@ -8,17 +8,17 @@
 
 __all__ = ["LeavingNotice", "Registry", "Server", "ServerEntry", "Usability"]
 
-COLD_MARGIN = 0.7
+COLD_MARGIN_SECONDS = 0.7
 """Seconds by which a cold phase is taken to last longer than told, for
 the age of the entry and the way of a request to the server."""
 
-ABSENT_GRACE = 2.2
+ABSENCE_GRACE_SECONDS = 2.2
 """Seconds for which servers that vanished while the registry could not be
 read are still used after its return; registrations are back within two
 seconds, and a server that left serves for several more."""
 
 
-LEAVING_KEPT = 30.0
+LEAVING_NOTICE_RETENTION_SECONDS = 30.0
 """Seconds for which a server that said that it leaves is remembered beyond
 its entry. The entry may lapse and come back, without a word on that."""
 
@@ -55,7 +55,7 @@
     born: int = 0
     leaving: bool = False
     cold_left: float = 0.0
-    gone_in: object = NOTHING
+    terminates_in: object = NOTHING
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -72,7 +72,7 @@
     """
 
     server_id: str
-    start: str
+    instance_id: str
     address: str
     at: float
     host: str = ""
@@ -95,7 +95,7 @@
     region: str
     cold_until: float = 0.0
     absent_since: object = NOTHING
-    gone_at: object = NOTHING
+    terminates_at: object = NOTHING
 
     def usability(self, now):
         """Return its `Usability` at *now*, evacuations aside."""
@@ -116,9 +116,9 @@
         self.servers = {}
         self.evacuated = set()
         self.removed = set()
-        self.groups = {}
-        self.left = {}
-        self.left_digest = 0
+        self.candidate_cache = {}
+        self.leaving_notices = {}
+        self.leaving_digest = 0
 
     def put(self, entry, now):
         """Take over an entry of the registry.
@@ -134,33 +134,36 @@
         server = self.servers.get(entry.id)
         if server is not None and entry.born < server.entry.born:
             return False
-        fresh = server is None or entry.born > server.entry.born
-        if fresh:
+        is_new = server is None or entry.born > server.entry.born
+        if is_new:
             region = self.regions.get(entry.data_centre, entry.data_centre)
             server = Server(entry, region)
             self.servers[entry.id] = server
-            self.groups.clear()
-        self.forget_moved(entry)
-        said = start_name(entry) in self.left
-        if (said or server.entry.leaving) and not entry.leaving:
+            self.candidate_cache.clear()
+        self.drop_notice_if_moved(entry)
+        announced = instance_id_of(entry) in self.leaving_notices
+        if (announced or server.entry.leaving) and not entry.leaving:
             entry = replace(entry, leaving=True)
-        if differs(entry, server.entry):
-            self.groups.clear()
+        if eligibility_changed(entry, server.entry):
+            self.candidate_cache.clear()
         server.entry = entry
         server.absent_since = NOTHING
         if entry.cold_left > 0:
-            until = now + entry.cold_left + COLD_MARGIN
+            until = now + entry.cold_left + COLD_MARGIN_SECONDS
             server.cold_until = max(server.cold_until, until)
-        if entry.gone_in is not NOTHING and server.gone_at is NOTHING:
-            server.gone_at = now + entry.gone_in
-        return fresh
+        if (
+            entry.terminates_in is not NOTHING
+            and server.terminates_at is NOTHING
+        ):
+            server.terminates_at = now + entry.terminates_in
+        return is_new
 
     def remove(self, server_id, now, *, outage):
         """Note that the registry no longer holds a server.
 
         While the registry is away registrations lapse although their
         servers live. Dropping them all would refuse every request until
-        they are back, so they are kept for `ABSENT_GRACE`.
+        they are back, so they are kept for `ABSENCE_GRACE_SECONDS`.
 
         Args:
             server_id: Its identifier.
@@ -175,7 +178,7 @@
                 server.absent_since = now
             return
         del self.servers[server_id]
-        self.groups.clear()
+        self.candidate_cache.clear()
 
     def expire(self, now):
         """Drop the servers whose registration did not come back.
@@ -186,12 +189,12 @@
         gone = [
             server_id
             for server_id, server in self.servers.items()
-            if is_over(server, now)
+            if is_terminated(server, now)
         ]
         for server_id in gone:
             del self.servers[server_id]
         if gone:
-            self.groups.clear()
+            self.candidate_cache.clear()
         return gone
 
     def replace_all(self, entries, now, *, outage):
@@ -218,11 +221,11 @@
         """
         returned = self.evacuated - set(data_centres)
         self.evacuated = set(data_centres)
-        self.groups.clear()
+        self.candidate_cache.clear()
         for server in self.servers.values():
             if server.entry.data_centre in returned:
                 cold = cold_seconds(server.entry.service)
-                until = now + cold + COLD_MARGIN if cold else 0.0
+                until = now + cold + COLD_MARGIN_SECONDS if cold else 0.0
                 server.cold_until = max(server.cold_until, until)
 
     def usability(self, server_id, now):
@@ -238,32 +241,34 @@
             return Usability.LEAVING
         return server.usability(now)
 
-    def start_of(self, server_id):
+    def current_instance(self, server_id):
         """Return the name of the start of a server that is known here.
 
         A server may start again under its identifier; what was said of or
         by the one before does not hold for it.
         """
         server = self.servers.get(server_id)
-        return server_id if server is None else start_name(server.entry)
+        return server_id if server is None else instance_id_of(server.entry)
 
-    def is_known(self, server_id, start):
+    def is_current_instance(self, server_id, instance_id):
         """Whether this start of a server is the one that is known here."""
         server = self.servers.get(server_id)
-        return server is not None and start_name(server.entry) == start
+        return (
+            server is not None and instance_id_of(server.entry) == instance_id
+        )
 
-    def forget_moved(self, entry):
+    def drop_notice_if_moved(self, entry):
         """Forget that a server leaves that has moved.
 
         Without the time of its start in its entry, nothing else shows that
         it is another one under the same identifier.
         """
-        notice = self.left.get(start_name(entry))
+        notice = self.leaving_notices.get(instance_id_of(entry))
         if notice is not None and notice.address != entry.address:
-            del self.left[notice.start]
-            self.count_left()
+            del self.leaving_notices[notice.instance_id]
+            self.update_leaving_digest()
 
-    def note_leaving(self, notice, now):
+    def record_leaving(self, notice, now):
         """Use a server no more that says that it leaves.
 
         The store may be late to say so, or not say it at all. Word of a
@@ -277,62 +282,69 @@
             Whether that start of the server was not known to leave.
         """
         server = self.servers.get(notice.server_id)
-        if server is not None and not is_about(notice, server.entry):
+        if server is not None and not notice_matches_entry(
+            notice, server.entry
+        ):
             return False
-        known = self.left.get(notice.start)
+        known = self.leaving_notices.get(notice.instance_id)
         if known is not None and known.at >= notice.at:
             return False
-        self.left[notice.start] = notice
+        self.leaving_notices[notice.instance_id] = notice
         if known is None:
-            self.count_left()
+            self.update_leaving_digest()
         if server is None or server.entry.leaving:
             return False
         server.entry = replace(server.entry, leaving=True)
-        self.groups.clear()
+        self.candidate_cache.clear()
         return True
 
-    def count_left(self):
+    def update_leaving_digest(self):
         """Note anew what sums up the servers that said that they leave."""
-        self.left_digest = 0
-        if self.left:
-            self.left_digest = hash_text("\n".join(sorted(self.left)))
+        self.leaving_digest = 0
+        if self.leaving_notices:
+            self.leaving_digest = hash_text(
+                "\n".join(sorted(self.leaving_notices))
+            )
 
     def leaving_by_answer(self):
         """Return how many servers that are known said that they leave."""
-        return sum(one.server_id in self.servers for one in self.left.values())
+        return sum(
+            one.server_id in self.servers
+            for one in self.leaving_notices.values()
+        )
 
-    def who_left(self, service, region, now):
+    def describe_leaving(self, service, region, now):
         """Return which servers said that they leave, for a log line."""
         return ", ".join(
             f"{one.server_id} leaves, said {now - one.at:.1f} s ago to "
             f"{one.host} in the answer to {one.request}"
-            for one in self.left.values()
-            if self.is_known(one.server_id, one.start)
+            for one in self.leaving_notices.values()
+            if self.is_current_instance(one.server_id, one.instance_id)
             and self.servers[one.server_id].entry.service == service
             and self.servers[one.server_id].region == region
         )
 
-    def forget_left(self, now):
+    def expire_leaving_notices(self, now):
         """Forget servers that said that they leave, and are gone."""
         old = [
-            start
-            for start, notice in self.left.items()
-            if now - notice.at > LEAVING_KEPT
-            and not self.is_known(notice.server_id, start)
+            instance_id
+            for instance_id, notice in self.leaving_notices.items()
+            if now - notice.at > LEAVING_NOTICE_RETENTION_SECONDS
+            and not self.is_current_instance(notice.server_id, instance_id)
         ]
-        for start in old:
-            del self.left[start]
+        for instance_id in old:
+            del self.leaving_notices[instance_id]
         if old:
-            self.count_left()
+            self.update_leaving_digest()
 
     def candidates(self, service, region, now):
         """Return the servers of *service* in *region* that may be used.
 
         They are kept until an entry changes: each choice asks for them.
         """
-        found = self.groups.get((service, region))
+        found = self.candidate_cache.get((service, region))
         if found is None:
-            found = self.groups[service, region] = [
+            found = self.candidate_cache[service, region] = [
                 server
                 for server in self.servers.values()
                 if server.entry.service == service
@@ -343,18 +355,18 @@
         return found
 
 
-def start_name(entry):
+def instance_id_of(entry):
     """Return the name of the start of a server that an entry tells of."""
     return f"{entry.id}/{entry.born}" if entry.born else entry.id
 
 
-def is_about(notice, entry):
+def notice_matches_entry(notice, entry):
     """Whether a notice is on the start of a server that an entry names."""
     same = notice.address == entry.address
-    return same and notice.start == start_name(entry)
+    return same and notice.instance_id == instance_id_of(entry)
 
 
-def differs(entry, known):
+def eligibility_changed(entry, known):
     """Whether an entry says something new on who may use a server."""
     return (entry.service, entry.data_centre, entry.leaving) != (
         known.service,
@@ -363,8 +375,8 @@
     )
 
 
-def is_over(server, now):
+def is_terminated(server, now):
     """Whether a server is to be taken as gone at *now*."""
     if server.absent_since is not NOTHING:
-        return now - server.absent_since > ABSENT_GRACE
-    return server.gone_at is not NOTHING and now > server.gone_at
+        return now - server.absent_since > ABSENCE_GRACE_SECONDS
+    return server.terminates_at is not NOTHING and now > server.terminates_at
--- a/src/hyssopspring_fakes/crashload.py
+++ b/src/hyssopspring_fakes/crashload.py
@@ -10,14 +10,14 @@
 
 from hyssopspring.core.sentinels import NOTHING
 from hyssopspring.traffic.crashes import (
-    Crashes,
-    End,
+    CrashTracker,
+    ServerCrash,
     Suspect,
     Verdict,
-    is_early,
+    may_be_cause,
 )
 from hyssopspring.traffic.decisions import Ask, Away, Placed
-from hyssopspring.traffic.evidence import Finding
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.servers import ServerEntry
 
 from .emulation import ONE_WAY, Emulation, Engine
@@ -144,7 +144,7 @@
         super().__init__(shape, rng)
         self.repeats = repeats
         self.tally = Tally()
-        self.crashes = {region: Crashes() for region in shape.engines}
+        self.crashes = {region: CrashTracker() for region in shape.engines}
         self.trials = {}
         self.by_load = {}
         self.news = []
@@ -189,12 +189,12 @@
     def place(self, load, region, now, *, may_leave=True):
         """Have a request placed, unless engines end under it."""
         trial = self.trial_of(load)
-        verdict = Verdict.FREE
+        verdict = Verdict.ALLOWED
         if self.repeats.remembered:
             verdict = self.crashes[region].verdict(
                 trial.name, trial.caller, now
             )
-        if verdict in (Verdict.BLOCKED, Verdict.HELD):
+        if verdict in (Verdict.BLOCKED, Verdict.DEFERRED):
             if verdict is Verdict.BLOCKED:
                 self.tally.refused.add(trial.name)
             load.refused = True
@@ -210,7 +210,7 @@
             priority=load.kind.priority,
             may_leave=may_leave,
             begun=bool(load.first_at),
-            apart=trial.name if verdict is Verdict.ALONE else "",
+            apart=trial.name if verdict is Verdict.ISOLATED else "",
         )
         decision = self.placers[region].place(ask, now)
         if isinstance(decision, Away):
@@ -245,7 +245,9 @@
             region, _ = self.at_engine.get(load.number, ("", 0))
             if region and load.left_out <= 0:
                 trial = self.trial_of(load)
-                self.crashes[region].note_run(trial.name, trial.caller, now)
+                self.crashes[region].record_success(
+                    trial.name, trial.caller, now
+                )
         super().tell(engine, now)
 
     def end_engines(self, now):
@@ -276,24 +278,24 @@
         begun = NOTHING
         if trial.begun_at is not NOTHING and not trial.bad:
             begun = now - trial.begun_at
-        early = is_early(
+        early = may_be_cause(
             ran_for=now - trial.sent_at,
             predicted=trial.predicted,
-            headed=trial.begun_at is not NOTHING,
-            begun_for=begun,
+            head_received=trial.begun_at is not NOTHING,
+            response_age=begun,
         )
         if early:
-            end = End(name, now, region, trial.caller)
+            end = ServerCrash(name, now, region, trial.caller)
             self.note_end(trial.name, end, region, now)
         self.at_engine.pop(load.number, None)
         self.placers[region].note_end(
-            "h", load.number, name, Finding.ERROR, now
+            "h", load.number, name, AttemptResult.ERROR, now
         )
         self.send_again(trial, now)
 
     def note_end(self, name, end, region, now):
         """Note an end here, and let the other regions hear of it."""
-        self.crashes[region].note_end(name, end, now)
+        self.crashes[region].record_crash(name, end, now)
         self.news.append((now + ONE_WAY, region, name, end))
 
     def send_again(self, trial, now):
@@ -348,4 +350,4 @@
         if now >= self.judge_due:
             self.judge_due = now + JUDGED_EVERY
             for crashes in self.crashes.values():
-                crashes.judge(now)
+                crashes.block_causes(now)
--- a/src/hyssopspring_fakes/emulation.py
+++ b/src/hyssopspring_fakes/emulation.py
@@ -13,9 +13,9 @@
 
 from hyssopspring.entry.asking import ANSWER_WITHIN
 from hyssopspring.traffic.decisions import Ask, Away, Placed
-from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.serverlimits import LimitNotice
 from hyssopspring.traffic.servers import Registry, ServerEntry
 from hyssopspring.traffic.work import Demand
@@ -443,9 +443,9 @@
         for name, limit in self.shape.limits.items():
             region = self.registry.servers[name].region
             notice = LimitNotice(
-                server_id=name, start=name, limit=limit, at=0.0
+                server_id=name, instance_id=name, limit=limit, at=0.0
             )
-            self.placers[region].limits.hear(notice, 0.0)
+            self.placers[region].limits.apply_notice(notice, 0.0)
 
     def run(self):
         """Play to the end."""
@@ -582,7 +582,11 @@
             if load.number in self.at_engine:
                 region, _ = self.at_engine.pop(load.number)
                 whole = load.left_out <= 0
-                finding = Finding.ANSWERED if whole else Finding.CANCELLED
+                finding = (
+                    AttemptResult.ANSWERED
+                    if whole
+                    else AttemptResult.CANCELLED
+                )
                 self.placers[region].note_end(
                     "h", load.number, engine.name, finding, now
                 )
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -24,10 +24,10 @@
 from hyssopspring.entry.membership import HEARTBEAT_EVERY, Membership
 from hyssopspring.entry.notices import Notices
 from hyssopspring.entry.views import ConfirmedView, ViewChecking
-from hyssopspring.traffic.crashes import Crashes
+from hyssopspring.traffic.crashes import CrashTracker
 from hyssopspring.traffic.decisions import Ask, Placed
 from hyssopspring.traffic.members import Member, Members
-from hyssopspring.traffic.rests import Rests
+from hyssopspring.traffic.retryafter import RetryAfterPauses
 from hyssopspring.traffic.routes import Configuration, ConfigurationKeeper
 from hyssopspring.traffic.serverlimits import ServerLimits
 from hyssopspring.traffic.servers import Registry, ServerEntry
@@ -130,7 +130,7 @@
         self.datagrams.transport = self
         self.saved = []
         self.sharing = CrashSharing(
-            Crashes(),
+            CrashTracker(),
             self.members,
             self.datagrams,
             network.clock,
@@ -168,7 +168,7 @@
         self.server_limits = ServerLimits(standing.weight, network.rng)
         self.notices = Notices(
             self.server_limits,
-            Rests(self.registry, network.rng),
+            RetryAfterPauses(self.registry, network.rng),
             self.registry,
             self.members,
             self.datagrams,
@@ -283,7 +283,7 @@
         """Let a host read the addresses of others in the store."""
         for other in others:
             own = other.members.own
-            host.members.learn(
+            host.members.add(
                 Member(
                     name=own.name,
                     region=own.region,
@@ -608,12 +608,12 @@
         free = [
             one
             for one in self.servers_of(host.region)
-            if placing.server_limits.is_free(one, now)
+            if placing.server_limits.can_send(one, now)
         ]
         if not free:
             return
         server_id = self.network.rng.choice(free)
-        placing.server_limits.take(server_id, now)
+        placing.server_limits.consume(server_id, now)
         self.arrived[server_id].append(now)
         self.sent += 1
         head = Head(stamped=True, limit=self.limit(now))
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -163,7 +163,7 @@
     entry = decode_server("servers/i-1", msgspec.json.encode(row))
     assert_that(entry.id, Equals("i-1"))
     assert entry.leaving
-    assert_that((entry.cold_left, entry.gone_in), Equals((1.5, 2.0)))
+    assert_that((entry.cold_left, entry.terminates_in), Equals((1.5, 2.0)))
     assert_that(entry.born, Equals(1780000000000))
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -22,7 +22,7 @@
 from hyssopspring.traffic.decisions import Ask, Away, Limited, Placed, Refused
 from hyssopspring.traffic.members import Member, Members
 from hyssopspring.traffic.placing import Placer
-from hyssopspring.traffic.rests import Rests
+from hyssopspring.traffic.retryafter import RetryAfterPauses
 from hyssopspring.traffic.routes import Service
 from hyssopspring.traffic.servers import Registry
 
@@ -94,8 +94,8 @@
     """Return the `Asking` of a host, its clock, and what it sends."""
     clock = task.Clock()
     members = Members(make_member(own))
-    members.learn(make_member(other))
-    members.others[other].heard_at = 0.0
+    members.add(make_member(other))
+    members.others[other].last_heartbeat_at = 0.0
     sent = Sent()
     registry = Registry({})
     placer = Placer(
@@ -116,7 +116,7 @@
         clock.seconds,
         timeline,
         Unlimited(),
-        Rests(registry, random.Random(1)),
+        RetryAfterPauses(registry, random.Random(1)),
     )
     return asking, clock, sent
 
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from hyssopspring.traffic.coldrates import CONCURRENT_PLACERS, ColdRates
-from hyssopspring.traffic.retries import RetryWindow
+from hyssopspring.traffic.retries import WindowedRetryBudget
 
-BOUND = 6.3
+COLD_REQUESTS_PER_SECOND = 6.3
 """Requests that a cold server stands in a second at the first users: 2.2 a
 second, times 1.5, and 3 more."""
 
@@ -24,21 +24,21 @@
     for gap in gaps:
         now += gap
         for placer in placers:
-            if placer.free("s1", BOUND, now):
+            if placer.free("s1", COLD_REQUESTS_PER_SECOND, now):
                 placer.count("s1", now)
                 sent.append(now)
     for start in sent:
         within = [at for at in sent if start <= at < start + 1.0]
-        assert len(within) <= BOUND
+        assert len(within) <= COLD_REQUESTS_PER_SECOND
 
 
-def test_requests_before_the_word_of_coldness_count():
+def test_requests_before_the_cold_state_arrives_count():
     """A server is cold already when its word of it arrives."""
     rates = ColdRates()
     rates.count("s1", 0.0)
     rates.count("s1", 0.1)
-    assert not rates.free("s1", BOUND, 0.5)
-    assert rates.free("s1", BOUND, 2.0)
+    assert not rates.free("s1", COLD_REQUESTS_PER_SECOND, 0.5)
+    assert rates.free("s1", COLD_REQUESTS_PER_SECOND, 2.0)
 
 
 @given(
@@ -55,11 +55,11 @@
     window allows. The sum of their repeats keeps to a fifth of the
     requests and 54 in any ten seconds.
     """
-    hosts = [RetryWindow(0.2, 54.0, 10.0) for _ in range(7)]
+    hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     now, requests, repeats = 0.0, [], []
     for host, gap, fails in steps:
         now += gap
-        hosts[host].note_request("engine", now)
+        hosts[host].record_request("engine", now)
         requests.append(now)
         if fails and hosts[host].spend("engine", now, 7):
             repeats.append(now)
@@ -71,20 +71,20 @@
 
 def test_a_storm_of_failures_on_all_hosts_keeps_within_the_budget():
     """Every attempt fails on all seven hosts at once, for ten seconds."""
-    hosts = [RetryWindow(0.2, 54.0, 10.0) for _ in range(7)]
+    hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     repeats = 0
     for step in range(1000):
         host = hosts[step % 7]
-        host.note_request("engine", step * 0.01)
+        host.record_request("engine", step * 0.01)
         repeats += host.spend("engine", step * 0.01, 7)
     assert 100 < repeats <= 0.2 * 1000 + 54
 
 
 def test_hosts_that_saw_few_requests_share_the_extra_repeats():
     """A service that few ask for gets more repeats than it stands."""
-    hosts = [RetryWindow(0.2, 54.0, 10.0) for _ in range(7)]
+    hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     repeats = 0
     for host in hosts:
-        host.note_request("engine", 0.0)
+        host.record_request("engine", 0.0)
         repeats += sum(host.spend("engine", 0.0, 7) for _ in range(60))
     assert 30 < repeats <= 54
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -12,9 +12,9 @@
 
 from hyssopspring.core.sentinels import NOTHING
 from hyssopspring.traffic.decisions import Ask, Placed, urgency_of
-from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.servers import Registry, ServerEntry
 from hyssopspring.traffic.work import Demand
 
@@ -143,7 +143,7 @@
     if not ticket.started and rng.random() < 0.7:
         placer.note_start(*key, now - ticket.placed_at, now)
     else:
-        finding = rng.choice((Finding.ANSWERED, Finding.CANCELLED))
+        finding = rng.choice((AttemptResult.ANSWERED, AttemptResult.CANCELLED))
         placer.note_end(*key, ticket.server_id, finding, now)
 
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -10,49 +10,51 @@
 
 from hyssopspring.core.sentinels import NOTHING
 from hyssopspring.traffic.crashes import (
-    EARLY,
-    EARLY_WAIT,
-    ENDS_TO_BLOCK,
-    KEPT,
-    MOST_SUSPECTS,
-    SETTLE,
-    Crashes,
-    End,
+    CRASHES_TO_BLOCK,
+    EARLY_RESPONSE_SECONDS,
+    MAX_EXTRA_WAIT_SECONDS,
+    MAX_SUSPECTS,
+    REPORT_DELAY_SECONDS,
+    RETENTION_SECONDS,
+    CrashTracker,
+    ServerCrash,
     Suspect,
     Verdict,
-    is_early,
+    may_be_cause,
 )
 
-LATER = SETTLE + 0.1
+LATER = REPORT_DELAY_SECONDS + 0.1
 
 
 @pytest.fixture
 def crashes():
     """Return what a host knows that has seen no server end."""
-    return Crashes()
+    return CrashTracker()
 
 
-def note(crashes, fingerprint, servers, at=0.0, caller="c"):
+def record_crashes(crashes, fingerprint, servers, at=0.0, caller="c"):
     """Note that *servers* ended as a request began on them."""
     for server in servers:
-        crashes.note_end(fingerprint, End(server, at, "h", caller), at)
+        crashes.record_crash(
+            fingerprint, ServerCrash(server, at, "h", caller), at
+        )
 
 
-def test_the_third_end_blocks_a_request(crashes):
+def test_the_third_crash_blocks_a_request(crashes):
     """Servers end under one request for as long as its caller comes back."""
-    note(crashes, "bad", "ab")
-    assert_that(crashes.verdict("bad", "c", LATER), Equals(Verdict.ALONE))
-    note(crashes, "bad", "c", 1.0)
-    assert_that(crashes.verdict("bad", "c", 1.0), Equals(Verdict.HELD))
+    record_crashes(crashes, "bad", "ab")
+    assert_that(crashes.verdict("bad", "c", LATER), Equals(Verdict.ISOLATED))
+    record_crashes(crashes, "bad", "c", 1.0)
+    assert_that(crashes.verdict("bad", "c", 1.0), Equals(Verdict.DEFERRED))
     assert_that(
         crashes.verdict("bad", "c", 1.0 + LATER), Equals(Verdict.BLOCKED)
     )
     assert_that(
-        crashes.verdict("good", "c", 1.0 + LATER), Equals(Verdict.FREE)
+        crashes.verdict("good", "c", 1.0 + LATER), Equals(Verdict.ALLOWED)
     )
 
 
-def test_what_ended_beside_the_cause_is_still_served(crashes):
+def test_requests_beside_the_cause_are_still_served(crashes):
     """Everybody's drafts are refused for minutes after one bad request.
 
     Three servers end under one request, and others had been sent to the
@@ -60,63 +62,63 @@
     end, of a server at which only one of them was, shows the cause.
     """
     for fingerprint in ("bad", "beside", "beside too"):
-        note(crashes, fingerprint, "abc")
-    assert_that(crashes.judge(LATER), Equals([]))
+        record_crashes(crashes, fingerprint, "abc")
+    assert_that(crashes.block_causes(LATER), Equals([]))
     for fingerprint in ("bad", "beside"):
         verdict = crashes.verdict(fingerprint, "c", LATER)
-        assert_that(verdict, Equals(Verdict.ALONE))
-    note(crashes, "bad", "d", 1.0)
-    blocked = crashes.judge(1.0 + LATER)
+        assert_that(verdict, Equals(Verdict.ISOLATED))
+    record_crashes(crashes, "bad", "d", 1.0)
+    blocked = crashes.block_causes(1.0 + LATER)
     assert_that([one.fingerprint for one in blocked], Equals(["bad"]))
     for fingerprint in ("beside", "beside too"):
         verdict = crashes.verdict(fingerprint, "c", 1.0 + LATER)
-        assert_that(verdict, Equals(Verdict.FREE))
+        assert_that(verdict, Equals(Verdict.ALLOWED))
 
 
 def test_two_causes_at_the_same_servers_are_both_found(crashes):
     """One of two bad requests hides behind the other."""
-    note(crashes, "bad", "abcd")
-    note(crashes, "worse", "abc")
-    crashes.judge(LATER)
-    note(crashes, "worse", "efg", 1.0)
+    record_crashes(crashes, "bad", "abcd")
+    record_crashes(crashes, "worse", "abc")
+    crashes.block_causes(LATER)
+    record_crashes(crashes, "worse", "efg", 1.0)
     assert_that(crashes.verdict("worse", "c", 2.0), Equals(Verdict.BLOCKED))
     assert_that(crashes.verdict("bad", "c", 2.0), Equals(Verdict.BLOCKED))
 
 
-def test_a_cause_beside_another_is_found_by_two_ends_of_its_own(crashes):
+def test_a_cause_beside_another_is_found_by_two_crashes_of_its_own(crashes):
     """A bad request ends three servers more, as it was near another one.
 
     Both were at three servers that ended. One was blocked, and the ends
     counted for nothing against the other.
     """
-    note(crashes, "bad", "abcd")
-    note(crashes, "worse", "abc")
-    crashes.judge(LATER)
-    note(crashes, "worse", "e", 1.0)
-    assert_that(crashes.verdict("worse", "c", 2.0), Equals(Verdict.ALONE))
-    note(crashes, "worse", "f", 3.0)
+    record_crashes(crashes, "bad", "abcd")
+    record_crashes(crashes, "worse", "abc")
+    crashes.block_causes(LATER)
+    record_crashes(crashes, "worse", "e", 1.0)
+    assert_that(crashes.verdict("worse", "c", 2.0), Equals(Verdict.ISOLATED))
+    record_crashes(crashes, "worse", "f", 3.0)
     assert_that(crashes.verdict("worse", "c", 4.0), Equals(Verdict.BLOCKED))
 
 
 def test_a_blocked_request_stays_blocked_whatever_others_meet(crashes):
     """A bad request is sent on, as another has seen more ends by now."""
-    note(crashes, "bad", "abcd")
-    note(crashes, "unlucky", "abc")
-    crashes.judge(LATER)
-    note(crashes, "unlucky", "vwxyz", 1.0)
-    crashes.judge(1.0 + LATER)
+    record_crashes(crashes, "bad", "abcd")
+    record_crashes(crashes, "unlucky", "abc")
+    crashes.block_causes(LATER)
+    record_crashes(crashes, "unlucky", "vwxyz", 1.0)
+    crashes.block_causes(1.0 + LATER)
     assert_that(crashes.verdict("bad", "c", 2.0), Equals(Verdict.BLOCKED))
 
 
-def test_a_request_that_was_answered_begins_anew(crashes):
+def test_a_successful_run_clears_a_request(crashes):
     """A request that ran well is refused, as servers ended near it."""
-    note(crashes, "good", "ab")
-    assert crashes.note_run("good", "c", 1.0)
-    note(crashes, "good", "c", 2.0)
+    record_crashes(crashes, "good", "ab")
+    assert crashes.record_success("good", "c", 1.0)
+    record_crashes(crashes, "good", "c", 2.0)
     assert_that(
-        crashes.verdict("good", "c", 2.0 + LATER), Equals(Verdict.FREE)
+        crashes.verdict("good", "c", 2.0 + LATER), Equals(Verdict.ALLOWED)
     )
-    assert not crashes.note_run("never seen", "c", 3.0)
+    assert not crashes.record_success("never seen", "c", 3.0)
 
 
 def test_another_caller_has_one_try(crashes):
@@ -125,55 +127,65 @@
     Both send the same. It may run well for the other one, and does so; or
     a server ends under it too, and then it is the request.
     """
-    note(crashes, "bad", "abc")
-    crashes.judge(LATER)
+    record_crashes(crashes, "bad", "abc")
+    crashes.block_causes(LATER)
     assert_that(crashes.verdict("bad", "c", 1.0), Equals(Verdict.BLOCKED))
-    assert_that(crashes.verdict("bad", "d", 1.0), Equals(Verdict.ALONE))
-    assert not crashes.note_run("bad", "d", 1.0)
+    assert_that(crashes.verdict("bad", "d", 1.0), Equals(Verdict.ISOLATED))
+    assert not crashes.record_success("bad", "d", 1.0)
     assert_that(crashes.verdict("bad", "c", 1.0), Equals(Verdict.BLOCKED))
-    note(crashes, "bad", "d", 2.0, caller="d")
+    record_crashes(crashes, "bad", "d", 2.0, caller="d")
     assert_that(crashes.verdict("bad", "e", 3.0), Equals(Verdict.BLOCKED))
 
 
 def test_a_request_is_tried_again_after_a_while(crashes):
     """A request is refused for good that newer servers run well."""
-    note(crashes, "bad", "abc")
-    crashes.judge(LATER)
-    crashes.expire(KEPT)
-    assert_that(crashes.verdict("bad", "c", KEPT), Equals(Verdict.BLOCKED))
-    crashes.expire(KEPT + 1.0)
-    assert_that(crashes.verdict("bad", "c", KEPT + 1.0), Equals(Verdict.FREE))
+    record_crashes(crashes, "bad", "abc")
+    crashes.block_causes(LATER)
+    crashes.expire(RETENTION_SECONDS)
+    assert_that(
+        crashes.verdict("bad", "c", RETENTION_SECONDS), Equals(Verdict.BLOCKED)
+    )
+    crashes.expire(RETENTION_SECONDS + 1.0)
+    assert_that(
+        crashes.verdict("bad", "c", RETENTION_SECONDS + 1.0),
+        Equals(Verdict.ALLOWED),
+    )
     assert_that((crashes.digest, crashes.by_server), Equals((0, {})))
-    assert not crashes.note_end("bad", End("a", 0.0, "h", "c"), KEPT + 1.0)
+    assert not crashes.record_crash(
+        "bad", ServerCrash("a", 0.0, "h", "c"), RETENTION_SECONDS + 1.0
+    )
 
 
 def test_memory_is_bounded_and_keeps_what_matters(crashes):
     """A host runs out of memory while servers end by the hundred."""
-    note(crashes, "bad", "abc")
-    crashes.judge(LATER)
-    for number in range(MOST_SUSPECTS * 2):
-        note(crashes, f"near {number}", [f"s{number // 64}"], 1.0)
-    assert_that(len(crashes.suspects), LessThan(MOST_SUSPECTS + 1))
-    assert len(crashes.suspects) >= MOST_SUSPECTS * 9 // 10
+    record_crashes(crashes, "bad", "abc")
+    crashes.block_causes(LATER)
+    for number in range(MAX_SUSPECTS * 2):
+        record_crashes(crashes, f"near {number}", [f"s{number // 64}"], 1.0)
+    assert_that(len(crashes.suspects), LessThan(MAX_SUSPECTS + 1))
+    assert len(crashes.suspects) >= MAX_SUSPECTS * 9 // 10
     assert_that(crashes.verdict("bad", "c", 2.0), Equals(Verdict.BLOCKED))
 
 
 @pytest.mark.parametrize(
-    ("ran_for", "headed", "begun_for", "early"),
+    ("ran_for", "head_received", "response_age", "early"),
     [
         (0.1, False, NOTHING, True),
-        (0.2 + EARLY_WAIT + 0.1, False, NOTHING, False),
-        (0.2 + EARLY_WAIT + 0.1, True, NOTHING, True),
+        (0.2 + MAX_EXTRA_WAIT_SECONDS + 0.1, False, NOTHING, False),
+        (0.2 + MAX_EXTRA_WAIT_SECONDS + 0.1, True, NOTHING, True),
         (3.0, True, 0.1, True),
-        (3.0, True, EARLY + 0.1, False),
+        (3.0, True, EARLY_RESPONSE_SECONDS + 0.1, False),
     ],
 )
 def test_what_has_run_for_a_while_is_not_the_cause(
-    ran_for, headed, begun_for, early
+    ran_for, head_received, response_age, early
 ):
     """A stream is refused whose servers were stopped midway."""
-    found = is_early(
-        ran_for=ran_for, predicted=0.2, headed=headed, begun_for=begun_for
+    found = may_be_cause(
+        ran_for=ran_for,
+        predicted=0.2,
+        head_received=head_received,
+        response_age=response_age,
     )
     assert_that(found, Equals(early))
 
@@ -189,19 +201,19 @@
 
 
 @given(ROWS, st.randoms(use_true_random=False))
-def test_hosts_that_hear_the_same_know_the_same(rows, rng):
+def test_hosts_with_the_same_reports_reach_the_same_verdicts(rows, rng):
     """One host blocks a request that another lets through.
 
     Word of an end comes doubled and in any order.
     """
-    hosts = Crashes(), Crashes()
+    hosts = CrashTracker(), CrashTracker()
     for host in hosts:
-        told = [*rows, *rows]
-        rng.shuffle(told)
-        for fingerprint, server, seen_by in told:
-            end = End(server, 0.0, seen_by, "c")
-            host.merge(Suspect(fingerprint, {server: end}), 0.0)
-        host.judge(LATER)
+        reports = [*rows, *rows]
+        rng.shuffle(reports)
+        for fingerprint, server, reporter in reports:
+            crash = ServerCrash(server, 0.0, reporter, "c")
+            host.merge(Suspect(fingerprint, {server: crash}), 0.0)
+        host.block_causes(LATER)
     first, second = hosts
     assert_that(first.digest, Equals(second.digest))
     for fingerprint in ("r1", "r2", "r3"):
@@ -211,7 +223,7 @@
         )
 
 
-class Servers:
+class CrashSimulation:
     """Servers that end under one request, and now and then by themselves.
 
     Each tick some requests are at each server. All that are at one that
@@ -222,23 +234,23 @@
 
     def __init__(self, seed, count):
         self.rng = random.Random(seed)
-        self.crashes = Crashes()
+        self.crashes = CrashTracker()
         self.count = count
-        self.starts = 0
+        self.crash_count = 0
         self.now = 0.0
         self.sent_after_third = 0
-        self.ends_of_bad = 0
-        self.coming = []
+        self.crashes_by_bad = 0
+        self.retried = []
         self.refused = set()
         self.served = 0
 
     def tick(self, number):
         """Let one second pass."""
         self.now += 1.0
-        self.crashes.judge(self.now)
+        self.crashes.block_causes(self.now)
         new = [f"good {number}-{one}" for one in range(2 * self.count)]
-        requests = [*self.coming, *new, "bad"]
-        self.coming = []
+        requests = [*self.retried, *new, "bad"]
+        self.retried = []
         at = {server: [] for server in range(self.count)}
         for request in requests:
             self.place(request, at)
@@ -248,40 +260,42 @@
     def place(self, request, at):
         """Send a request to a server, unless it is refused."""
         verdict = self.crashes.verdict(request, "c", self.now)
-        if verdict in (Verdict.BLOCKED, Verdict.HELD):
+        if verdict in (Verdict.BLOCKED, Verdict.DEFERRED):
             self.refused.add(request)
             return
         servers = list(at)
-        if verdict is Verdict.ALONE:
+        if verdict is Verdict.ISOLATED:
             servers = [one for one in at if not self.has_suspect(at[one])]
         if not servers:
-            self.coming.append(request)
+            self.retried.append(request)
             return
         at[self.rng.choice(servers)].append(request)
-        if request == "bad" and self.ends_of_bad >= ENDS_TO_BLOCK:
+        if request == "bad" and self.crashes_by_bad >= CRASHES_TO_BLOCK:
             self.sent_after_third += 1
 
     def has_suspect(self, here):
         """Whether another that must run alone is among *here*."""
         return any(
-            self.crashes.verdict(one, "c", self.now) is Verdict.ALONE
+            self.crashes.verdict(one, "c", self.now) is Verdict.ISOLATED
             for one in here
         )
 
-    def run(self, server, here, ends):
+    def run(self, server, here, crashes_itself):
         """Run what is at a server; it may end."""
-        if "bad" not in here and not ends:
+        if "bad" not in here and not crashes_itself:
             self.served += len(here)
             for request in here:
-                self.crashes.note_run(request, "c", self.now)
+                self.crashes.record_success(request, "c", self.now)
             return
-        self.starts += 1
-        self.ends_of_bad += "bad" in here
+        self.crash_count += 1
+        self.crashes_by_bad += "bad" in here
         for request in here:
-            end = End(f"{server}/{self.starts}", self.now, "h", "c")
-            self.crashes.note_end(request, end, self.now)
+            crash = ServerCrash(
+                f"{server}/{self.crash_count}", self.now, "h", "c"
+            )
+            self.crashes.record_crash(request, crash, self.now)
             if request != "bad":
-                self.coming.append(request)
+                self.retried.append(request)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -291,7 +305,7 @@
     Six requests are at each of four servers, one of them bad; one server
     in fifty ends by itself each second.
     """
-    servers = Servers(seed, count=4)
+    servers = CrashSimulation(seed, count=4)
     for number in range(40):
         servers.tick(number)
     assert_that(servers.sent_after_third, LessThan(4))
--- a/tests/test_crashsharing.py
+++ b/tests/test_crashsharing.py
@@ -10,7 +10,7 @@
 from testtools.matchers import Equals, LessThan
 
 from hyssopspring.entry.messages import EndRow, SuspectRow, Suspects
-from hyssopspring.traffic.crashes import MOST_SUSPECTS, Verdict
+from hyssopspring.traffic.crashes import MAX_SUSPECTS, Verdict
 
 HEARD_WITHIN = 5.0
 """Seconds after a third end in which each host that is in touch must know;
@@ -121,10 +121,10 @@
     """A request is kept apart for minutes that has run well since."""
     end_servers(network, ["north-3", "south-5"])
     network.run(1.0)
-    assert_that(verdicts(network), Equals({Verdict.ALONE}))
+    assert_that(verdicts(network), Equals({Verdict.ISOLATED}))
     network.hosts["west-8"].sharing.ran_well(BAD, "c")
     network.run(HEARD_WITHIN)
-    assert_that(verdicts(network), Equals({Verdict.FREE}))
+    assert_that(verdicts(network), Equals({Verdict.ALLOWED}))
 
 
 def test_nothing_is_sent_where_all_know_the_same(network):
@@ -139,13 +139,13 @@
 def test_more_than_there_is_room_for_is_taken_in(network):
     """Word of many ends fails midway, and the rest of it is lost."""
     host = network.hosts["north-3"]
-    for first in range(0, MOST_SUSPECTS + 200, 100):
+    for first in range(0, MAX_SUSPECTS + 200, 100):
         rows = [
             SuspectRow(f"{first + one:032}", [EndRow("s", first + one, "h")])
             for one in range(100)
         ]
         host.sharing.take(Suspects("north-4", rows))
-    assert len(host.sharing.crashes.suspects) <= MOST_SUSPECTS
+    assert len(host.sharing.crashes.suspects) <= MAX_SUSPECTS
 
 
 def test_what_was_near_by_and_ran_well_is_told_to_few(network):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 from hyssopspring.entry.attempts import Sending
 from hyssopspring.entry.connections import Lane
 from hyssopspring.entry.endings import WAIT, Endings
-from hyssopspring.traffic.evidence import Finding
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.servers import Registry, ServerEntry
 
 LANE = Lane("s", "10.0.0.1:1")
@@ -35,7 +35,7 @@
     lane: Lane = LANE
     broke_off: bool = True
     events: int = 0
-    finding: Finding = Finding.ERROR
+    finding: AttemptResult = AttemptResult.ERROR
     sending: Sending = field(
         default_factory=lambda: Sending(
             id=b"r",
--- a/tests/test_farhosts.py
+++ b/tests/test_farhosts.py
@@ -24,7 +24,7 @@
         version=1,
         **more,
     )
-    made.heard_at = 0.0
+    made.last_heartbeat_at = 0.0
     return made
 
 
@@ -55,7 +55,7 @@
     """Return `FarHosts` of a host with thirty hosts in the south."""
     members = Members(member("own", "north"))
     for number in range(30):
-        members.learn(member(f"s{number}", "south"))
+        members.add(member(f"s{number}", "south"))
     return FarHosts(members, connections, task.Clock(), random.Random(1))
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -108,7 +108,7 @@
     """Return a notice of the server as it is known."""
     return LeavingNotice(
         server_id="s1",
-        start=registry.start_of("s1"),
+        instance_id=registry.current_instance("s1"),
         address=registry.servers["s1"].entry.address,
         at=at,
     )
@@ -116,7 +116,7 @@
 
 def test_an_entry_that_comes_back_does_not_hide_that_a_server_leaves(registry):
     """The entry lapses and is written again, as ready, by the old server."""
-    registry.note_leaving(notice(registry), 1.0)
+    registry.record_leaving(notice(registry), 1.0)
     registry.remove("s1", 2.0, outage=False)
     registry.put(entry(), 3.0)
     assert_that(usable(registry, "s1"), Equals(False))
@@ -129,11 +129,11 @@
 def test_another_start_of_a_server_that_left_is_used(registry, changes):
     """A server is never used again as the one before it has left."""
     late = notice(registry)
-    registry.note_leaving(notice(registry), 1.0)
+    registry.record_leaving(notice(registry), 1.0)
     registry.remove("s1", 2.0, outage=False)
     registry.put(entry(**changes), 3.0)
     assert_that(usable(registry, "s1"), Equals(True))
-    registry.note_leaving(late, 3.0)
+    registry.record_leaving(late, 3.0)
     assert_that(usable(registry, "s1"), Equals(True))
 
 
@@ -141,19 +141,21 @@
     """A host that hears late of a server sends to it although it leaves."""
     word = notice(registry)
     late = Registry({"north-a": "north"})
-    late.note_leaving(word, 1.0)
+    late.record_leaving(word, 1.0)
     late.put(entry(), 2.0)
     assert_that(usable(late, "s1"), Equals(False))
 
 
 def test_who_left_is_forgotten_once_it_is_gone(registry):
     """What hosts remember of servers that are gone grows for ever."""
-    registry.note_leaving(notice(registry), 1.0)
-    registry.forget_left(100.0)
-    assert_that(len(registry.left), Equals(1))
+    registry.record_leaving(notice(registry), 1.0)
+    registry.expire_leaving_notices(100.0)
+    assert_that(len(registry.leaving_notices), Equals(1))
     registry.remove("s1", 100.0, outage=False)
-    registry.forget_left(101.0)
-    assert_that((registry.left, registry.left_digest), Equals(({}, 0)))
+    registry.expire_leaving_notices(101.0)
+    assert_that(
+        (registry.leaving_notices, registry.leaving_digest), Equals(({}, 0))
+    )
 
 
 @pytest.fixture
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -28,8 +28,8 @@
     """Return the view of ``h1``, which hears two more of its region."""
     made = Members(make_member("h1"))
     for name in ("h2", "h3"):
-        made.learn(make_member(name))
-        made.others[name].heard_at = 10.0
+        made.add(make_member(name))
+        made.others[name].last_heartbeat_at = 10.0
     return made
 
 
@@ -42,9 +42,9 @@
     """Return the view of one host that hears all others."""
     made = Members(make_member(name))
     for other in all_names:
-        made.learn(make_member(other))
+        made.add(make_member(other))
     for member in made.others.values():
-        member.heard_at = 10.0
+        member.last_heartbeat_at = 10.0
     return made
 
 
@@ -67,8 +67,8 @@
     members = view_of("h0", everyone)
     strong = [make_member(name, capacity=2.15) for name in ("s1", "s2")]
     for member in strong:
-        member.heard_at = 10.0
-        members.learn(member)
+        member.last_heartbeat_at = 10.0
+        members.add(member)
     assert_that(set(names(members.placers(10.1))[:2]), Equals({"s1", "s2"}))
 
 
@@ -80,14 +80,14 @@
         weight = 2.0 if number < 5 else 0.5
         member = make_member(f"h{number + 1}", capacity=weight)
         member.data_centre = place
-        member.heard_at = 10.0
-        members.learn(member)
-    chosen = members.contacts(10.1, "north", 3)
+        member.last_heartbeat_at = 10.0
+        members.add(member)
+    chosen = members.report_targets(10.1, "north", 3)
     assert_that(len(chosen), Equals(3))
     assert_that(
         {one.data_centre for one in chosen}, Equals({"north-a", "north-b"})
     )
-    assert_that(members.contacts(10.2, "north", 3), Equals(chosen))
+    assert_that(members.report_targets(10.2, "north", 3), Equals(chosen))
 
 
 def test_a_host_that_leaves_or_lost_the_store_places_last(members):
@@ -112,22 +112,22 @@
 
 def test_silent_hosts_are_neither_named_nor_asked(members):
     """Callers are sent to a host that has lost its power."""
-    members.others["h2"].heard_at = 20.0
+    members.others["h2"].last_heartbeat_at = 20.0
     assert_that(sorted(names(members.live(20.1))), Equals(["h1", "h2"]))
     assert "h3" not in names(members.placers(20.1))
 
 
 def test_an_old_entry_does_not_replace_a_newer_start(members):
     """A restarted host is forgotten, since its old entry is read late."""
-    members.learn(make_member("h2", incarnation=5, front="new"))
-    members.learn(make_member("h2", incarnation=1, front="old"))
+    members.add(make_member("h2", incarnation=5, front="new"))
+    members.add(make_member("h2", incarnation=1, front="old"))
     assert_that(members.others["h2"].front, Equals("new"))
 
 
-def test_addresses_of_forgotten_hosts_are_strangers(members):
+def test_addresses_of_removed_hosts_are_not_trusted(members):
     """Another machine gets the address of a host that is gone."""
     assert members.is_known("h2")
     assert not members.is_known("h9")
-    members.forget_silent(100.0, 30.0)
+    members.remove_silent(100.0, 30.0)
     assert not members.is_known("h2")
     assert members.is_known("h1")
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -8,10 +8,10 @@
 
 from hyssopspring.core.hashing import short_id
 from hyssopspring.traffic.decisions import Ask, Away, Placed, Refused
-from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.regions import RegionLoad, Room
 from hyssopspring.traffic.routes import EngineSpec, Service
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.servers import Registry, ServerEntry
 from hyssopspring.traffic.work import Demand
 
@@ -251,7 +251,7 @@
 
 def test_an_unreachable_server_is_tried_by_one_request_at_a_time(placer, ask):
     """Each request loses time at a server that does not answer."""
-    placer.note_end("h1", 0, "p1", Finding.UNREACHED, 0.0)
+    placer.note_end("h1", 0, "p1", AttemptResult.UNREACHED, 0.0)
     early = {placer.place(ask("plain"), 0.1).server_id for _ in range(5)}
     assert_that(early, Equals({"p2"}))
     later = [placer.place(ask("plain"), 0.7).server_id for _ in range(5)]
@@ -268,10 +268,10 @@
     ticket = next(iter(placer.tickets.values()))
     placer.note_start("h1", ticket.number, 0.05, 0.4)
     server = ticket.server_id
-    placer.note_end("h1", 999, server, Finding.SILENT, 0.5)
-    assert placer.evidence_of(server).open(0.6)
-    placer.note_end("h1", 999, server, Finding.SILENT, 5.0)
-    assert not placer.evidence_of(server).open(5.1)
+    placer.note_end("h1", 999, server, AttemptResult.SILENT, 0.5)
+    assert placer.evidence_of(server).is_available(0.6)
+    placer.note_end("h1", 999, server, AttemptResult.SILENT, 5.0)
+    assert not placer.evidence_of(server).is_available(5.1)
 
 
 def test_memory_of_an_engine_is_not_overfilled(placer, ask):
@@ -316,16 +316,16 @@
     look cheap, and whose failures must not count against it either.
     """
     first = placer.place(ask(), 0.0)
-    placer.note_end("h1", 99, first.server_id, Finding.UNREACHED, 0.1)
+    placer.note_end("h1", 99, first.server_id, AttemptResult.UNREACHED, 0.1)
     placer.forget_server(first.server_id, 0.2)
     server = placer.registry.servers[first.server_id]
     work = placer.work_of(server)
     assert_that(work.known_tokens(REVIEW), Equals(0))
     assert_that(work.tickets, Equals({}))
     assert_that(placer.tickets, Equals({}))
-    assert placer.evidence_of(first.server_id).open(0.2)
+    assert placer.evidence_of(first.server_id).is_available(0.2)
     placer.note_start("h1", 1, 0.3, 0.3)
-    placer.note_end("h1", 1, first.server_id, Finding.ANSWERED, 0.4)
+    placer.note_end("h1", 1, first.server_id, AttemptResult.ANSWERED, 0.4)
 
 
 def test_a_prompt_goes_to_the_region_that_has_read_its_parts(placer, ask):
@@ -427,8 +427,8 @@
     for number in range(1, 9):
         placer.place(ask(), number * 0.1)
         if number % 2:
-            placer.note_end("h1", number, "e1", Finding.ANSWERED, 1.0)
-            placer.note_end("h1", number, "e1", Finding.ANSWERED, 1.0)
+            placer.note_end("h1", number, "e1", AttemptResult.ANSWERED, 1.0)
+            placer.note_end("h1", number, "e1", AttemptResult.ANSWERED, 1.0)
     placer.keep_only("h1", {8}, 5.0, older_than=0.7)
     for work in placer.work.values():
         tokens = sum(ticket.tokens for ticket in work.tickets.values())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -5,7 +5,7 @@
 
 from hyssopspring.core.sentinels import NOTHING
 from hyssopspring.traffic.servers import (
-    ABSENT_GRACE,
+    ABSENCE_GRACE_SECONDS,
     Registry,
     ServerEntry,
     Usability,
@@ -51,7 +51,7 @@
     leaving. Then a neighbour's copy brings the former entry once more.
     """
     registry = Registry(REGIONS)
-    registry.put(make_entry(born=1000, leaving=True, gone_in=2.0), 0.0)
+    registry.put(make_entry(born=1000, leaving=True, terminates_in=2.0), 0.0)
     assert registry.put(make_entry(born=2000, cold_left=3.0), 1.0)
     assert_that(ids(registry, 1.0), Equals(["s1"]))
     assert_that(registry.usability("s1", 1.0), Is(Usability.COLD))
@@ -72,7 +72,7 @@
     registry.replace_all([], 10.0, outage=True)
     assert_that(ids(registry, 10.1), Equals(["s1", "s2"]))
     registry.put(make_entry("s1"), 11.0)
-    gone = registry.expire(10.0 + ABSENT_GRACE + 0.1)
+    gone = registry.expire(10.0 + ABSENCE_GRACE_SECONDS + 0.1)
     assert_that(gone, Equals(["s2"]))
     assert_that(ids(registry, 13.0), Equals(["s1"]))
 
@@ -111,6 +111,6 @@
 def test_a_server_is_gone_when_its_announced_time_is_over():
     """A server that is taken away at short notice gets nothing more."""
     registry = Registry(REGIONS)
-    registry.put(make_entry(leaving=True, gone_in=2.0), 0.0)
+    registry.put(make_entry(leaving=True, terminates_in=2.0), 0.0)
     assert_that(registry.expire(1.9), Equals([]))
     assert_that(registry.expire(2.1), Equals(["s1"]))
--- a/tests/test_rests.py
+++ b/tests/test_retryafter.py
@@ -13,24 +13,32 @@
 from hyssopspring.core.sentinels import INVALID, NOTHING
 from hyssopspring.platform.headers import read_head
 from hyssopspring.records import cause_of, read_records
-from hyssopspring.traffic.rests import LONGEST_REST, SPREAD_SECONDS, Rests
+from hyssopspring.traffic.retryafter import (
+    MAX_PAUSE_SECONDS,
+    SPREAD_SECONDS,
+    RetryAfterPauses,
+)
 from hyssopspring.traffic.servers import Registry, ServerEntry
 
-REST = 3.0
-SLACK = 0.5
+PAUSE_SECONDS = 3.0
+SLACK_SECONDS = 0.5
 """Seconds after a request for rest in which more may still arrive."""
 
-MOST = 2
+MAX_ARRIVALS = 2
 """Requests that may arrive in the rest of the time."""
 
 
-def most_in_rests(backend):
+def most_in_pauses(backend):
     """Return the most requests of one host within one rest."""
     found = [0]
     for peer in {address for _, address in backend.arrived}:
         times = [at for at, address in backend.arrived if address == peer]
         for asked in times:
-            within = [t for t in times if asked + SLACK < t < asked + REST]
+            within = [
+                t
+                for t in times
+                if asked + SLACK_SECONDS < t < asked + PAUSE_SECONDS
+            ]
             found.append(len(within))
     return max(found)
 
@@ -41,21 +49,19 @@
     ids=["plain", "stream"],
 )
 @pytest_twisted.ensureDeferred
-async def test_a_server_that_asks_for_rest_gets_it(
-    hosts, service, path, headers
-):
+async def test_a_retry_after_pause_is_respected(hosts, service, path, headers):
     """A server that turns requests away is asked again and again."""
     backends = [hosts.backends[f"{service}-{r}"] for r in ("north", "south")]
     for backend in backends:
         backend.mood = "full"
         backend.told = {b"retry-after": b"3"}
-    await send_for(hosts, REST + 1.0, path, **headers)
+    await send_for(hosts, PAUSE_SECONDS + 1.0, path, **headers)
     for backend in backends:
-        assert_that(most_in_rests(backend), LessThan(MOST + 1))
+        assert_that(most_in_pauses(backend), LessThan(MAX_ARRIVALS + 1))
 
 
 @pytest_twisted.ensureDeferred
-async def test_other_hosts_go_on_with_a_server_at_rest(hosts):
+async def test_other_hosts_keep_using_a_paused_server(hosts):
     """A whole region leaves a server alone that asked one host for rest."""
     north, _ = await hosts.with_resting_host()
     backend = hosts.backends["plain-north"]
@@ -69,7 +75,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_callers_are_told_when_the_first_server_is_back(hosts):
+async def test_callers_get_the_retry_after_of_the_first_pause_to_end(hosts):
     """Callers are held, or come back while all servers still rest."""
     for region, seconds in (("north", b"9"), ("south", b"7")):
         backend = hosts.backends[f"plain-{region}"]
@@ -93,7 +99,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_who_is_turned_away_by_all_is_told_when_to_come_back(hosts):
+async def test_a_caller_refused_by_all_servers_gets_retry_after(hosts):
     """The first callers come back at once to servers that all rest."""
     for region in ("north", "south"):
         backend = hosts.backends[f"plain-{region}"]
@@ -117,7 +123,7 @@
         ((b"3", b"5"), INVALID),
     ],
 )
-def test_a_senseless_rest_is_not_believed(values, read):
+def test_an_invalid_retry_after_is_ignored(values, read):
     """A date in place of seconds closes a server, or fails the answer."""
     headers = Headers({b"retry-after": list(values)})
     head = read_head(503, headers)
@@ -145,55 +151,55 @@
 
 
 @pytest.fixture
-def rests(registry):
+def pauses(registry):
     """Return the rests of a host."""
-    return Rests(registry, random.Random(1))
+    return RetryAfterPauses(registry, random.Random(1))
 
 
-def sent_from(rests, since, until):
+def sent_from(pauses, since, until):
     """Return what is sent if a request waits every 10 ms."""
     sent = 0
     for hundredth in range(int(since * 100), int(until * 100)):
-        if not rests.is_closed("s1", hundredth / 100):
-            rests.count("s1", hundredth / 100)
+        if not pauses.is_blocked("s1", hundredth / 100):
+            pauses.record_sent("s1", hundredth / 100)
             sent += 1
     return sent
 
 
-def test_after_a_rest_work_comes_step_by_step(rests):
+def test_load_ramps_up_after_a_pause(pauses):
     """All that had waited comes in the moment in which a rest ends."""
-    rests.note("s1", "r1", 3.0, 0.0)
-    assert_that(sent_from(rests, 0.0, 3.0), Equals(0))
-    assert_that(sent_from(rests, 3.0, 3.2), Equals(1))
-    assert_that(sent_from(rests, 3.2, 3.9), Equals(7))
-    assert_that(sent_from(rests, 4.0, 5.0), Equals(100))
+    pauses.record("s1", "r1", 3.0, 0.0)
+    assert_that(sent_from(pauses, 0.0, 3.0), Equals(0))
+    assert_that(sent_from(pauses, 3.0, 3.2), Equals(1))
+    assert_that(sent_from(pauses, 3.2, 3.9), Equals(7))
+    assert_that(sent_from(pauses, 4.0, 5.0), Equals(100))
 
 
-def test_an_hour_of_rest_is_bounded(rests):
+def test_the_length_of_a_pause_is_bounded(pauses):
     """A faulty server is left alone for an hour."""
-    rests.note("s1", "r1", 3600.0, 0.0)
-    assert_that(rests.is_closed("s1", LONGEST_REST - 1), Equals(True))
-    assert_that(rests.is_closed("s1", LONGEST_REST + 1), Equals(False))
+    pauses.record("s1", "r1", 3600.0, 0.0)
+    assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS - 1), Equals(True))
+    assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS + 1), Equals(False))
 
 
-def test_the_longer_of_two_rests_holds(rests):
+def test_the_longer_of_two_pauses_applies(pauses):
     """A short rest that is asked for second ends a long one."""
-    assert_that(rests.note("s1", "r1", 5.0, 0.0), Equals(True))
-    assert_that(rests.note("s1", "r2", 1.0, 0.1), Equals(False))
-    assert_that(rests.is_closed("s1", 4.0), Equals(True))
+    assert_that(pauses.record("s1", "r1", 5.0, 0.0), Equals(True))
+    assert_that(pauses.record("s1", "r2", 1.0, 0.1), Equals(False))
+    assert_that(pauses.is_blocked("s1", 4.0), Equals(True))
 
 
-def test_another_start_of_a_server_does_not_rest(rests, registry):
+def test_a_pause_ends_with_its_server_instance(pauses, registry):
     """A fresh server gets nothing, as the one before asked for rest."""
-    rests.note("s1", "r1", 5.0, 0.0)
+    pauses.record("s1", "r1", 5.0, 0.0)
     registry.put(entry("s1", born=7), 1.0)
-    assert_that(rests.is_closed("s1", 1.0), Equals(False))
+    assert_that(pauses.is_blocked("s1", 1.0), Equals(False))
 
 
-def test_the_first_to_be_back_counts_only_if_all_rest(rests):
+def test_the_first_pause_to_end_counts_only_if_all_servers_pause(pauses):
     """Callers are told to wait for a rest though a server is open."""
-    rests.note("s1", "r1", 5.0, 0.0)
-    assert_that(rests.first_back(["s1", "s2"], 1.0), Equals(NOTHING))
-    rests.note("s2", "r2", 3.0, 0.0)
-    assert_that(rests.first_back(["s1", "s2"], 1.0).server_id, Equals("s2"))
-    assert_that(rests.first_back([], 1.0), Equals(NOTHING))
+    pauses.record("s1", "r1", 5.0, 0.0)
+    assert_that(pauses.first_to_end(["s1", "s2"], 1.0), Equals(NOTHING))
+    pauses.record("s2", "r2", 3.0, 0.0)
+    assert_that(pauses.first_to_end(["s1", "s2"], 1.0).server_id, Equals("s2"))
+    assert_that(pauses.first_to_end([], 1.0), Equals(NOTHING))
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -151,7 +151,7 @@
     for name in network.names("west"):
         members = network.hosts[name].members
         now = network.clock.seconds()
-        named = {one.name for one in members.named(now, "west")}
+        named = {one.name for one in members.listed(now, "west")}
         assert_that(named, Equals(network.names("west")))
 
 
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -29,20 +29,21 @@
 )
 from hyssopspring.traffic.servers import Registry, ServerEntry
 
-WINDOW = 4.0
+WINDOW_SECONDS = 4.0
 """Seconds over which requests to a server are counted."""
 
 
 def most_allowed(limit):
     """Return the requests that a server may get in a window."""
-    return 1.5 * limit * WINDOW + 5
+    return 1.5 * limit * WINDOW_SECONDS + 5
 
 
 def most_arrived(backend):
     """Return the most requests that reached a server in a window."""
     times = [at for at, _ in backend.arrived]
     return max(
-        sum(begin <= at < begin + WINDOW for at in times) for begin in times
+        sum(begin <= at < begin + WINDOW_SECONDS for at in times)
+        for begin in times
     )
 
 
@@ -60,7 +61,7 @@
     backends = [hosts.backends[f"{service}-{r}"] for r in ("north", "south")]
     for backend in backends:
         backend.told = {b"server-limit": b"%.1f" % limit}
-    await send_for(hosts, WINDOW + 1.0, path, **headers)
+    await send_for(hosts, WINDOW_SECONDS + 1.0, path, **headers)
     for backend in backends:
         assert_that(most_arrived(backend), LessThan(most_allowed(limit) + 1))
 
@@ -95,7 +96,7 @@
             if end == second:
                 end_fault(network, kind, host)
         servers.run(1.0)
-    arrived = servers.most_in(WINDOW, since=since)
+    arrived = servers.most_in(WINDOW_SECONDS, since=since)
     assert_that(arrived, LessThan(most_allowed(limit) + 1))
 
 
@@ -130,7 +131,7 @@
     network.start_reading()
     servers.introduce(network.hosts.values())
     servers.run(8.0)
-    arrived = servers.most_in(WINDOW, since=since)
+    arrived = servers.most_in(WINDOW_SECONDS, since=since)
     assert_that(arrived, LessThan(most_allowed(limit) + 1))
 
 
@@ -149,7 +150,7 @@
         )
     servers.run(12.0)
     assert_that(
-        servers.most_in(WINDOW, since=since),
+        servers.most_in(WINDOW_SECONDS, since=since),
         LessThan(most_allowed(limit) + 1),
     )
     used = servers.used(since + 4, network.clock.seconds())
@@ -183,17 +184,19 @@
     return ServerLimits(lambda: weight, random.Random(1))
 
 
-def notice(limit, at, start="s1"):
+def notice(limit, at, instance_id="s1"):
     """Return a notice of one server."""
-    return LimitNotice(server_id="s1", start=start, limit=limit, at=at)
+    return LimitNotice(
+        server_id="s1", instance_id=instance_id, limit=limit, at=at
+    )
 
 
 def passed(limits, since, until):
     """Return how many requests pass, if one asks every 10 ms."""
     count = 0
     for hundredth in range(int(since * 100), int(until * 100)):
-        if limits.is_free("s1", hundredth / 100):
-            limits.take("s1", hundredth / 100)
+        if limits.can_send("s1", hundredth / 100):
+            limits.consume("s1", hundredth / 100)
             count += 1
     return count
 
@@ -203,7 +206,9 @@
     limits = make_limits()
     count = 0
     for tenth in range(100):
-        limits.hear(notice((1.0, 9.0)[tenth % 2], tenth / 10), tenth / 10)
+        limits.apply_notice(
+            notice((1.0, 9.0)[tenth % 2], tenth / 10), tenth / 10
+        )
         count += passed(limits, tenth / 10, (tenth + 1) / 10)
     assert_that(count, LessThan(13))
 
@@ -211,15 +216,15 @@
 def test_an_older_answer_does_not_raise_a_limit():
     """An answer that was late on its way ends a limit that still holds."""
     limits = make_limits()
-    limits.hear(notice(1.0, 5.0), 5.0)
-    limits.hear(notice(UNLIMITED, 4.0), 6.0)
+    limits.apply_notice(notice(1.0, 5.0), 5.0)
+    limits.apply_notice(notice(UNLIMITED, 4.0), 6.0)
     assert_that(limits.limit_of("s1", 7.0), Equals(1.0))
 
 
 def test_a_server_that_starts_again_has_no_limit():
     """A fresh server is held to the limit of the one before."""
     limits = make_limits()
-    limits.hear(notice(1.0, 5.0), 5.0)
+    limits.apply_notice(notice(1.0, 5.0), 5.0)
     limits.forget("s1")
     assert_that(limits.limit_of("s1", 5.0), Equals(NOTHING))
     assert_that(limits.digest, Equals(0))
@@ -228,7 +233,7 @@
 def test_a_server_that_takes_nothing_is_asked_now_and_then():
     """Nobody hears that a server takes requests again."""
     limits = make_limits()
-    limits.hear(notice(0.0, 0.0), 0.0)
+    limits.apply_notice(notice(0.0, 0.0), 0.0)
     count = passed(limits, 0.0, 60.0)
     assert_that(count, GreaterThan(3))
     assert_that(count, LessThan(9))
@@ -237,9 +242,10 @@
 def test_refused_callers_come_back_one_after_the_other():
     """All callers who are refused come back at the same moment."""
     limits = make_limits()
-    limits.hear(notice(2.0, 0.0), 0.0)
+    limits.apply_notice(notice(2.0, 0.0), 0.0)
     times = [
-        limits.promise("plain", ["s1"], 0.0, 3.0).seconds for _ in range(9)
+        limits.advise_retry("plain", ["s1"], 0.0, 3.0).seconds
+        for _ in range(9)
     ]
     steps = [b - a for a, b in zip(times, times[1:], strict=False)]
     assert_that(round(min(steps[:3]), 6), Equals(0.5))
@@ -249,14 +255,14 @@
 def test_a_request_that_was_not_sent_is_not_counted():
     """A placement that is not used lies idle in the limit of a server."""
     limits = make_limits()
-    limits.hear(notice(1.0, 0.0), 0.0)
-    assert_that(limits.is_free("s1", 1.0), Equals(True))
-    limits.take("s1", 1.0)
-    limits.give_back("s1")
-    assert_that(limits.is_free("s1", 1.0), Equals(True))
+    limits.apply_notice(notice(1.0, 0.0), 0.0)
+    assert_that(limits.can_send("s1", 1.0), Equals(True))
+    limits.consume("s1", 1.0)
+    limits.refund("s1")
+    assert_that(limits.can_send("s1", 1.0), Equals(True))
 
 
-def test_a_limit_may_be_heard_before_the_entry_of_its_server():
+def test_a_limit_may_arrive_before_the_entry_of_its_server():
     """A host that hears late of a server sends more than it takes."""
     network = Network(6)
     network.run(4)
@@ -265,9 +271,9 @@
     late.registry.servers.clear()
     servers.run(1.0)
     known = {"south-server-0", "south-server-1"}
-    assert_that(set(late.server_limits.named), Equals(known))
+    assert_that(set(late.server_limits.by_server), Equals(known))
     network.run(6.0)
-    assert_that(set(late.server_limits.named), Equals(set()))
+    assert_that(set(late.server_limits.by_server), Equals(set()))
 
 
 def test_servers_in_need_are_not_overrun_before_their_first_answer():
@@ -295,7 +301,7 @@
         for other, at in list(enumerate(sent)):
             if at <= now - 0.6 < at + 0.05:
                 placer.note_start("h", other, 0.6, now)
-                placer.limits.hear(notice(1.5, now), now)
+                placer.limits.apply_notice(notice(1.5, now), now)
         ask = Ask(host="h", number=len(sent), service="plain", patience=9.0)
         if isinstance(placer.place(ask, now), Placed):
             sent.append(now)
