--- a/src/hyssopspring/traffic/crashes.py
+++ b/src/hyssopspring/traffic/crashes.py
@@ -1,15 +1,17 @@
-"""Requests under which servers end, and which of them are to blame.
-
-A request may end each server that begins to run it. It is sent on to other
-servers, its caller comes back with it to any host, and all that runs beside
-it is cut each time. So hosts remember under which requests servers have
-ended, tell each other, and send such a request to no server any more.
-
-Everything that was about to begin on a server that ends is suspected. Three
-things tell the cause from the rest: a request that was answered, or has run
-for a while, is not the cause; ends that a blocked request explains speak
-against no other; and a request under which two servers have ended so is
-run alone, apart from others like it, so that the next end shows which one.
+"""Requests that crash servers, and how the responsible request is found.
+
+A request may crash every server that starts to run it. It is retried at other
+servers, its caller repeats it at any host, and everything else that runs on
+the server is cut off each time. Hosts therefore record which requests were
+starting when servers crashed, share these records, and stop sending such a
+request to any server.
+
+Every request that was about to start on a server that crashes is a suspect.
+Three rules tell the cause from the others: a request that was answered, or has
+run for a while, is not the cause; a crash that a blocked request explains does
+not count against other requests; and a request with two unexplained crashes is
+run isolated from other suspects, so that the next crash shows which one is
+responsible.
 """
 
 import enum
@@ -22,43 +24,48 @@
 __all__ = ["CrashTracker", "ServerCrash", "Suspect", "Verdict", "may_be_cause"]
 
 CRASHES_TO_BLOCK = 3
-"""Ends of servers after which a request is blocked. Servers end for other
-reasons too, but seldom three just as the same request begins on them. Each
-more would cost a server for seconds, and all that it runs."""
+"""Server crashes after which a request is blocked. Servers crash for other
+reasons too, but rarely three times just as the same request starts on them.
+Each further crash would cost a server for seconds, and all requests that it
+runs."""
 
 CRASHES_TO_ISOLATE = 2
-"""Ends after which a request is run apart from others suspected."""
+"""Server crashes after which a request runs isolated from other suspects."""
 
 EXPLAINED_CRASH_WEIGHT = 1
-"""What two ends or more that a blocked request explains count for, beside
-ends that none explains. What was only near that one meets no more ends; of
-two that end servers, the second would else cost three servers more."""
+"""Weight of two or more crashes that a blocked request explains, added to the
+crashes that none explains. A request that merely ran beside the blocked one
+meets no more crashes; of two requests that both crash servers, the second
+would otherwise crash three more servers."""
 
 EARLY_RESPONSE_SECONDS = 0.5
-"""Seconds after the beginning of an answer in which an end of the server
-may still be due to the request. A request that ends servers does so as it
-begins; what has run for longer ended with its server."""
+"""Seconds after the start of a response within which the request may still be
+the cause of a server crash. A request that crashes servers does so as it
+starts; one that has run for longer was cut off by the crash."""
 
 MAX_EXTRA_WAIT_SECONDS = 1.0
-"""Seconds besides the predicted time, for a request of which nothing had
-come: the wait at a busy server is longer than predicted now and then. What
-takes longer still speaks neither for nor against the request."""
+"""Seconds beyond the predicted time within which a request without any
+response may be the cause: the wait at a busy server is sometimes longer than
+predicted. A crash after a longer wait counts neither for nor against the
+request."""
 
 REPORT_DELAY_SECONDS = 0.3
-"""Seconds after an end in which others may still tell of what ended with
-it: word from another region takes 0.1 s, and a lost one is repeated."""
+"""Seconds after a crash within which other hosts may still report requests
+that were affected: a message from another region takes 0.1 s, and a lost one
+is sent again."""
 
 RETENTION_SECONDS = 600.0
-"""Seconds for which ends are remembered. A new version of the servers may
-run the request well; and the store gives no longer lease."""
+"""Seconds for which crashes are remembered. A new version of the servers may
+run the request without a crash, and the store grants no longer lease."""
 
 MAX_SUSPECTS = 2_000
-"""Requests that are remembered, about 1 MB. Those with the fewest and the
-oldest ends go first; they are the ones that were only near by."""
+"""Number of suspected requests kept in memory, about 1 MB. Those with the
+fewest and the oldest crashes are removed first, as they probably only ran
+beside the cause."""
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request."""
+    """How a request may be run."""
 
     ALLOWED = enum.auto()
     ISOLATED = enum.auto()
@@ -68,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerCrash:
-    """A server that ended as a request began on it.
+    """The crash of a server as a request started on it.
 
     Attributes:
-        server: The start of a server.
-        at: Time of its end.
-        host: Host that saw it.
+        server: Identifier of the server instance.
+        at: Time of the crash.
+        host: Host that detected it.
         caller: Address that the request came from.
     """
 
@@ -85,17 +92,18 @@
 
 @dataclass(slots=True, eq=False)
 class Suspect:
-    """A request under which servers have ended.
+    """A request that was starting when servers crashed.
 
     Attributes:
-        fingerprint: What its repeats have in common.
-        ends: `ServerCrash` by server.
-        blocked: Whether it was found to be the cause.
-        cleared_at: Time at which it was last known to run well, or
-            `NOTHING`. Ends before do not count.
-        for_all: Whether every host must know it, and not only those that
-            sum up first ends. What was only near one server that ended is
-            of no interest to the others, nor that it ran well since.
+        fingerprint: Digest that all repeats of the request share.
+        crashes: `ServerCrash` by server instance.
+        blocked: Whether the request was found to be the cause.
+        cleared_at: Time at which the request was last known to run without a
+        crash, or `NOTHING`. Crashes up to that time do not count.
+        shared_with_all: Whether every host needs the record, and not only the
+        hosts that collect first crashes. For a request that was affected by a
+        single crash, neither the crash nor a later success matters to the
+        other hosts.
     """
 
     fingerprint: str
@@ -106,7 +114,7 @@
 
     @property
     def last_event_at(self):
-        """Time of the last that is known of it."""
+        """Time of the latest crash or success."""
         times = [crash.at for crash in self.crashes.values()]
         if self.cleared_at is not NOTHING:
             times.append(self.cleared_at)
@@ -114,32 +122,32 @@
 
     @property
     def callers(self):
-        """Addresses that it came from when servers ended under it."""
+        """Addresses that sent the request when servers crashed."""
         return {crash.caller for crash in self.crashes.values()}
 
     def is_blocked_for(self, caller):
-        """Whether it is refused to a caller.
+        """Whether the request, once blocked, is refused for a caller.
 
-        A caller comes from other addresses now and then. Whoever sends
-        the same from another one may be another caller, for whom it may
-        run well, and has one try; if a server ends under that as well, it
-        is the request, whoever sends it.
+        A caller's address changes now and then. The same request from another
+        address may come from another caller, for whom it may run without a
+        crash, so that caller gets one attempt. If a server crashes then as
+        well, the request itself is the cause and is refused for every caller.
         """
         return len(self.callers) > 1 or caller in self.callers
 
 
 def may_be_cause(*, ran_for, predicted, head_received, response_age):
-    """Whether a request may be why its server ended.
+    """Whether a request may be the cause of its server's crash.
 
-    A head without anything after it shows that the server had just begun,
-    however long the request had waited there.
+    A response head without a body shows that the server had just started to
+    run the request, however long the request had waited there.
 
     Args:
-        ran_for: Seconds since it was sent there.
-        predicted: Seconds in which it was to begin.
-        head_received: Whether the head of its answer had come.
-        response_age: Seconds since the first of its answer came, or
-            `NOTHING`.
+        ran_for: Seconds since the request was sent.
+        predicted: Predicted seconds until the start of the response.
+        head_received: Whether the head of the response was received.
+        response_age: Seconds since the first part of the response body
+        arrived, or `NOTHING`.
     """
     if response_age is not NOTHING:
         return response_age <= EARLY_RESPONSE_SECONDS
@@ -147,10 +155,10 @@
 
 
 class CrashTracker:
-    """All that this host knows of requests under which servers ended.
+    """The requests of this and other hosts that coincided with server crashes.
 
-    What is known only grows, by union, until it is forgotten by its age.
-    So word of it may be doubled, late or out of order.
+    Records are merged by set union and only grow until they expire, so reports
+    may be duplicated, late or out of order.
     """
 
     def __init__(self):
@@ -159,7 +167,7 @@
         self.cached_digest = 0
 
     def record_crash(self, fingerprint, crash, now):
-        """Add one end of a server; return whether it is new."""
+        """Add a crash to a request; return whether it is new."""
         if now - crash.at > RETENTION_SECONDS:
             return False
         suspect = self.suspects.get(fingerprint)
@@ -176,15 +184,14 @@
         return True
 
     def add_suspect(self, suspect):
-        """Remember one more request."""
+        """Add a suspected request."""
         self.suspects[suspect.fingerprint] = suspect
         return suspect
 
     def record_success(self, fingerprint, caller, now):
-        """Note that a request has run well; return whether it is news.
+        """Record a run without a crash; return whether it changes anything.
 
-        Where it is blocked, another caller's says nothing of the first
-        one's.
+        If the request is blocked, a run for another caller does not clear it.
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is None or not suspect.crashes:
@@ -195,7 +202,7 @@
         return True
 
     def clear(self, suspect, at):
-        """Forget the ends of a request up to the time *at*."""
+        """Remove the crashes of a request up to the time *at*."""
         if suspect.cleared_at is NOTHING or at > suspect.cleared_at:
             suspect.cleared_at = at
         for crash in list(suspect.crashes.values()):
@@ -204,7 +211,7 @@
         suspect.blocked = suspect.blocked and bool(suspect.crashes)
 
     def remove_crash(self, suspect, server):
-        """Take one end away from a request."""
+        """Remove one crash from a request."""
         del suspect.crashes[server]
         others = self.by_server.get(server, set())
         others.discard(suspect.fingerprint)
@@ -213,14 +220,14 @@
         self.cached_digest = NOTHING
 
     def merge(self, remote, now):
-        """Take over what another host knows of a request.
+        """Merge another host's record of a request.
 
         Args:
-            remote: The `Suspect`, in times of this host.
+            remote: The `Suspect`, with times of this host's clock.
             now: The time.
 
         Returns:
-            Whether anything of it is news.
+            Whether it changed anything.
         """
         news = False
         if (
@@ -242,7 +249,7 @@
         return news
 
     def merge_success(self, remote):
-        """Take over that a request ran well; return whether it is news."""
+        """Merge a reported success; return whether it changes anything."""
         suspect = self.suspects.get(remote.fingerprint)
         if suspect is None:
             return False
@@ -256,7 +263,7 @@
         return True
 
     def block(self, suspect):
-        """Hold a request to be the cause of the ends under it."""
+        """Mark a request as the cause of its crashes."""
         suspect.blocked = True
         suspect.shared_with_all = True
         self.cached_digest = NOTHING
@@ -274,7 +281,7 @@
         return found
 
     def assess_unblocked(self, suspect, now):
-        """Return the `Verdict` on one that is not held to be the cause."""
+        """Return the `Verdict` on a request that is not blocked."""
         own = self.unexplained(suspect)
         weight = len(own)
         if own and len(suspect.crashes) - len(own) >= CRASHES_TO_ISOLATE:
@@ -292,7 +299,7 @@
         )
 
     def unexplained(self, suspect):
-        """Return the ends of a request that no blocked one explains."""
+        """Return the crashes of a request that no blocked request explains."""
         return {
             server
             for server in suspect.crashes
@@ -300,21 +307,23 @@
         }
 
     def has_blocked_request(self, server):
-        """Whether a blocked request was at a server that ended."""
+        """Whether a blocked request was at a server that crashed."""
         return any(
             self.suspects[one].blocked
             for one in self.by_server.get(server, ())
         )
 
     def equally_suspect(self, suspect, servers):
-        """Return the other requests that may as well be the cause.
+        """Return the other requests that may equally be the cause.
 
-        These met as many ends, two of these among them. One that was only
-        near the cause falls behind at the next end, as both run apart.
+        These have at least as many unexplained crashes, and share two or more
+        with the given request. A request that merely ran beside the cause has
+        fewer from the next crash on, as both run isolated by then.
 
         Args:
             suspect: The `Suspect`.
-            servers: The servers that ended under it and no blocked one.
+            servers: The servers that crashed under it without a blocked
+            request.
         """
         shared = Counter(
             one
@@ -346,26 +355,26 @@
         )
         found = []
         for suspect in most_first:
-            # A request blocked just before may explain the ends of the next.
+            # The request blocked before may explain the crashes of this one.
             if self.assess_unblocked(suspect, now) is Verdict.BLOCKED:
                 self.block(suspect)
                 found.append(suspect)
         return found
 
     def expire(self, now):
-        """Forget what is too old."""
+        """Remove records that are too old."""
         for suspect in list(self.suspects.values()):
             if now - suspect.last_event_at > RETENTION_SECONDS:
                 self.forget(suspect)
 
     def forget(self, suspect):
-        """Forget one request."""
+        """Remove a suspected request."""
         for server in list(suspect.crashes):
             self.remove_crash(suspect, server)
         self.suspects.pop(suspect.fingerprint, None)
 
     def evict_excess(self):
-        """Forget a tenth, the least suspect ones, if there are too many."""
+        """Remove a tenth, the least suspect ones, above `MAX_SUSPECTS`."""
         if len(self.suspects) <= MAX_SUSPECTS:
             return
         least_first = sorted(
@@ -376,15 +385,15 @@
             self.forget(suspect)
 
     def suspects_for_all(self):
-        """Return each `Suspect` that every host must know, newest first."""
+        """Return each `Suspect` that every host needs, newest first."""
         found = [one for one in self.suspects.values() if one.shared_with_all]
         return sorted(found, key=lambda one: -one.last_event_at)
 
     @property
     def digest(self):
-        """A number that is the same where the same is known.
+        """A number that is equal on hosts that hold the same records.
 
-        Only what every host must know counts; 0 stands for nothing.
+        Only records that every host needs count; 0 means that there are none.
         """
         if self.cached_digest is NOTHING:
             rows = sorted(
@@ -397,7 +406,7 @@
 
 
 def is_cleared(suspect, crash):
-    """Whether a request ran well after an end."""
+    """Whether a request ran without a crash after the given crash."""
     if suspect.cleared_at is NOTHING:
         return False
     return crash.at <= suspect.cleared_at
--- a/src/hyssopspring/traffic/members.py
+++ b/src/hyssopspring/traffic/members.py
@@ -1,4 +1,4 @@
-"""Which hosts of the system live, and which of them places."""
+"""Which hosts of the system are alive, and which of them place requests."""
 
 import enum
 from dataclasses import dataclass, field
@@ -15,57 +15,61 @@
 ]
 
 HEARTBEAT_TIMEOUT_SECONDS = 2.6
-"""Seconds without a heartbeat after which a host counts as gone: four
+"""Seconds without a heartbeat after which a host counts as down: four
 heartbeats of its region are lost or late by then."""
 
 INDIRECT_TIMEOUT_SECONDS = 5.2
-"""Seconds after which a host of the region counts as gone that only other
-hosts tell of, unless these say so. When all that tell of it go at once,
-the next ones are found, heard and tell of it in 5.0 s at most."""
+"""Seconds after which a host of the region that only other hosts report counts
+as down, unless they report it again. When all hosts that report it fail at
+once, their replacements are found, receive its heartbeats and report it within
+5.0 s."""
 
 REMOTE_TIMEOUT_SECONDS = 8.0
-"""Seconds after which a host of another region counts as gone: word of it
-passes through two hosts, each of which speaks every two seconds, and one
-word may be lost."""
+"""Seconds after which a host of another region counts as down: reports on it
+pass through two hosts, each of which sends every two seconds, and one message
+may be lost."""
 
 REGION_TIMEOUT_SECONDS = 4.8
-"""Seconds without word of any host of a region after which nothing is sent
-there: it may be cut off. Word of it is up to 4.2 s old on hosts that do
+"""Seconds without a report on any host of a region after which nothing is sent
+there, because it may be cut off. Reports are up to 4.2 s old on hosts that do
 not place."""
 
 STARTUP_DISCOVERY_SECONDS = 3.0
-"""Seconds after a start in which the hosts that the store names are taken
-to live too. Only those would be named to callers else that a host has
-heard by then, which are the same three for all hosts of a region."""
+"""Seconds after a start in which hosts that the store lists also count as
+alive. Otherwise callers would only be given the hosts whose heartbeats have
+arrived by then, which are the same three for all hosts of a region."""
 
 LIVE_REGIONS_CACHE_SECONDS = 0.1
-"""Seconds for which the regions with live hosts are kept: each placement
-asks for them, and to look at two hundred hosts takes 0.05 ms."""
+"""Seconds for which the regions with live hosts are cached: each placement
+reads them, and checking two hundred hosts takes 0.05 ms."""
 
 PLACER_TIMEOUT_SECONDS = 1.3
 """Seconds without a heartbeat after which a host is not asked to place."""
 
 PLACER_WARMUP_SECONDS = 1.0
-"""Seconds after a start before a host places for others: until then it
-has not heard what the others have in progress."""
+"""Seconds after a start before a host places for others: until then it has not
+received what the others have in progress."""
 
 MAX_CONTACT_AGE_SECONDS = 5.0
-"""Seconds since a host last heard the registry after which others place
-before it, as it may not know which servers leave."""
+"""Seconds since a host last received data from the registry after which other
+hosts place before it, as it may miss which servers are draining."""
 
 REPORT_RETRY_SECONDS = 3.0
-"""Seconds after which a host that did not answer is reported to again."""
+"""Seconds after which heartbeats are sent again to a host that did not
+answer."""
 
 AGE_ERROR_SECONDS = 0.2
-"""Seconds by which the age of a word is wrong that other hosts tell."""
+"""Seconds by which the age of a heartbeat may be wrong when another host
+reports it."""
 
 RESTART_QUIET_SECONDS = 1.2
-"""Seconds without word of a start of a host after which an earlier number
-of a start is believed: a host that runs is heard twice a second."""
+"""Seconds without a message from an incarnation of a host after which a lower
+incarnation number is accepted: a running host sends heartbeats twice a
+second."""
 
 
 class Subscription(enum.IntEnum):
-    """What a host that sends a heartbeat wants from who gets it."""
+    """What the sender of a heartbeat wants to receive from the recipient."""
 
     NONE = 0
     HEARTBEATS = 1
@@ -83,25 +87,25 @@
         front: Address for callers.
         control: Address for datagrams between hosts.
         relay: Address for requests that other hosts forward.
-        capacity: Processor share, to weigh what it can carry.
+        capacity: Processor share, as a weight of what it can carry.
         incarnation: Number of its start; a greater one is newer.
-        leaving: Whether it is about to stop.
-        heard_at: Time of its last heartbeat, or `NOTHING`.
-        told_at: Time at which it was last heard by a host that told of
-            it, or `NOTHING`.
-        reporting_since: Time since when this host sends it heartbeats
-            and should be answered, or `NOTHING`.
-        reported_at: Time at which it last reported to this host.
-        wants: Its `Subscription`.
+        leaving: Whether it is shutting down.
+        last_heartbeat_at: Time of its last heartbeat, or `NOTHING`.
+        reported_alive_at: Time of the last heartbeat that another host reports
+        from it, or `NOTHING`.
+        reporting_since: Time since which this host sends it heartbeats and
+        expects answers, or `NOTHING`.
+        reported_at: Time of its last heartbeat that subscribed to this host.
+        subscription: Its `Subscription`.
         up_seconds: Seconds since its start.
-        contact_age: Seconds since it heard the registry.
+        contact_age: Seconds since it received data from the registry.
         version: Version of the configuration that it has.
-        revisions: Newest revisions that it has seen, of what operators
-            wrote and of the servers.
-        draw: Place among hosts of like state; the least goes first. The
-            strongest host places, as many weak ones together would often
-            win a draw by weight.
-        id: Short name of this start of it, for small messages.
+        revisions: Newest revisions that it has seen, of operators' data and of
+        the servers.
+        rank_key: Sort key among hosts of equal state; the lowest goes first.
+        The strongest host places, as many weak hosts together would often win
+        a random choice by weight.
+        id: Short identifier of this incarnation, for small messages.
     """
 
     name: str
@@ -126,13 +130,13 @@
     id: int = field(init=False)
 
     def __post_init__(self):
-        """Work out what follows from the name, once."""
+        """Compute the values that follow from the name."""
         self.rank_key = (-self.capacity, hash_text(self.name))
         self.id = short_id(f"{self.name} {self.incarnation}")
 
     @property
     def last_seen_at(self):
-        """Time of the last sign of life, or `NOTHING`."""
+        """Time of the last direct or reported heartbeat, or `NOTHING`."""
         if self.last_heartbeat_at is NOTHING:
             return self.reported_alive_at
         if self.reported_alive_at is NOTHING:
@@ -140,14 +144,14 @@
         return max(self.last_heartbeat_at, self.reported_alive_at)
 
     def reported_alive_within(self, seconds, now):
-        """Whether others have heard it within *seconds*."""
+        """Whether others have received a heartbeat within *seconds*."""
         return (
             self.reported_alive_at is not NOTHING
             and now - self.reported_alive_at < seconds
         )
 
     def is_reporting(self, now):
-        """Whether it counts on this host for news of the others."""
+        """Whether it relies on this host for news of the others."""
         if (
             self.reported_at is NOTHING
             or self.subscription is Subscription.NONE
@@ -156,12 +160,12 @@
         return now - self.reported_at < HEARTBEAT_TIMEOUT_SECONDS
 
     def is_ahead(self, version, revisions):
-        """Whether it has something newer than what is given."""
+        """Whether it has a newer version or revision than the given ones."""
         pairs = zip(self.revisions, revisions, strict=True)
         return self.version > version or any(a > b for a, b in pairs)
 
     def heartbeat_within(self, seconds, now):
-        """Whether a heartbeat has come within *seconds*."""
+        """Whether a heartbeat has arrived within *seconds*."""
         return (
             self.last_heartbeat_at is not NOTHING
             and now - self.last_heartbeat_at < seconds
@@ -169,7 +173,7 @@
 
 
 class Members:
-    """All hosts that this one knows, itself included.
+    """All hosts in the membership list of this host, itself included.
 
     Args:
         own: `Member` of this host.
@@ -184,16 +188,17 @@
         self.live_regions_at = NOTHING
 
     def add(self, member, *, announced_at=NOTHING):
-        """Take over the addresses of a host from the store or a peer.
+        """Add or update a host from the store or from a message.
 
-        Starts are numbered by the time of day, which may step back. A
-        host that starts again after such a step would not be believed
-        until it is forgotten, so its word goes before a number that has
-        not been heard for a while.
+        Incarnation numbers derive from the time of day, which may step back. A
+        host that restarts after such a step would be ignored until its old
+        record is removed, so its own message takes precedence over a higher
+        number from which no message has arrived for a while.
 
         Args:
             member: The `Member`.
-            announced_at: Time of its own word, or `NOTHING` if others tell.
+            announced_at: Time of the host's own message, or `NOTHING` if the
+            data comes from others.
         """
         if member.name == self.own.name:
             return
@@ -210,13 +215,13 @@
     def is_known(self, ip):
         """Whether a host of the system has the IP address *ip*.
 
-        Whoever else reaches a port between hosts could change what they
-        believe, or have requests run past all checks of callers.
+        Anyone else who reaches a port between hosts could change their
+        membership lists, or have requests run without the checks on callers.
         """
         return ip in self.addresses
 
     def live(self, now, *, region=NOTHING):
-        """Return the hosts that are up and stay, this one included."""
+        """Return the hosts that are up and not shutting down, own included."""
         found = [
             member
             for member in self.others.values()
@@ -229,7 +234,7 @@
         return found
 
     def listed(self, now, region=NOTHING):
-        """Return the hosts that callers of the directory are told of."""
+        """Return the hosts that the directory gives to callers."""
         found = [one for one in self.live(now, region=region) if one.version]
         if (
             self.own.up_seconds >= STARTUP_DISCOVERY_SECONDS
@@ -245,7 +250,7 @@
         return found + unseen
 
     def is_up(self, member, now):
-        """Whether another host was heard of lately."""
+        """Whether another host was directly or indirectly seen recently."""
         if member.heartbeat_within(HEARTBEAT_TIMEOUT_SECONDS, now):
             return True
         if last_seen_directly(member):
@@ -255,7 +260,7 @@
         return member.reported_alive_within(REMOTE_TIMEOUT_SECONDS, now)
 
     def regions(self, now):
-        """Return the regions in which hosts live."""
+        """Return the regions that have live hosts, cached for a moment."""
         at = self.live_regions_at
         if at is NOTHING or not 0 <= now - at < LIVE_REGIONS_CACHE_SECONDS:
             self.live_regions_at = now
@@ -263,7 +268,7 @@
         return self.live_regions
 
     def find_regions(self, now):
-        """Return the regions of which any host was heard lately."""
+        """Return the regions in which any host was seen recently."""
         found = {
             member.region
             for member in self.others.values()
@@ -276,7 +281,7 @@
         return frozenset(found)
 
     def leaving(self, now, region):
-        """Return the hosts of *region* that leave but are still heard."""
+        """Return the hosts of *region* that shut down but send heartbeats."""
         found = [
             member
             for member in self.others.values()
@@ -288,11 +293,12 @@
         return [member for member in found if member.region == region]
 
     def placers(self, now):
-        """Return the hosts of this region to ask, the best first.
+        """Return the hosts of this region to ask for a placement, best first.
 
-        All hosts rank alike, so they ask the same one as long as they
-        hear the same ones. Only those that this host hears itself are
-        asked; each host reports to the best ones, and these answer.
+        All hosts use the same ranking, so they ask the same host as long as
+        they receive heartbeats from the same hosts. Only hosts whose
+        heartbeats this host receives itself are asked; each host sends
+        heartbeats to the best ones, and these answer.
         """
         able = [
             member
@@ -306,8 +312,8 @@
     def ranked(self, now, region):
         """Return the other hosts of *region*, the best to report to first.
 
-        Hosts of which nothing was heard come last. Right after a start
-        that is all of them.
+        Hosts that have never been seen come last. Right after a start that is
+        all of them.
         """
         return sorted(
             (one for one in self.others.values() if one.region == region),
@@ -317,15 +323,16 @@
     def report_targets(
         self, now, region, max_count, silence=PLACER_TIMEOUT_SECONDS
     ):
-        """Return the hosts of *region* to report to.
+        """Return the hosts of *region* to send heartbeats to.
 
-        These are the best ones that answer. Their number does not grow
-        with the hosts, so neither does what a host spends on heartbeats.
+        These are the best ones that answer. Their number does not grow with
+        the number of hosts, so the cost of heartbeats for a host does not
+        either.
 
         Args:
             now: The time.
             region: The region.
-            max_count: How many.
+            max_count: Largest number of hosts.
             silence: Seconds within which a host must answer.
         """
         chosen = []
@@ -344,12 +351,12 @@
         return chosen
 
     def probe_targets(self, now, region, turn):
-        """Return the hosts of *region* to report to besides.
+        """Return hosts of *region* that seem down, to send a heartbeat to.
 
-        After a cut, groups of hosts may be left of which each finds its
-        contacts among its own and hears nothing of the others, for good.
-        So one host that seems gone is reported to with each turn: the one
-        that would place, and the others one after the other.
+        After a partition, groups of hosts may remain of which each selects its
+        targets within the group and never receives anything from the others.
+        So each turn probes one host that seems down, alternating between the
+        one that would place and the others in rotation.
 
         Args:
             now: The time.
@@ -368,7 +375,7 @@
         return [gone[0 if turn % 2 else other]]
 
     def reporting(self, now):
-        """Return the hosts that report to this one."""
+        """Return the hosts that subscribe to this one."""
         return [
             member
             for member in self.others.values()
@@ -376,7 +383,7 @@
         ]
 
     def remove_silent(self, now, after):
-        """Drop the hosts not heard for *after* seconds; return them."""
+        """Remove the hosts not seen for *after* seconds; return them."""
         gone = [
             member
             for member in self.others.values()
@@ -398,19 +405,20 @@
 
 
 def adds_data_centre(member, chosen):
-    """Whether a host stands apart from others that stand together.
+    """Whether a host is in another data centre than all the chosen ones.
 
-    Hosts of one data centre lose their power together.
+    It applies only if these are in a single data centre, as the hosts of one
+    lose power together.
     """
     places = {one.data_centre for one in chosen}
     return len(places) == 1 and member.data_centre not in places
 
 
 def last_seen_directly(member):
-    """Whether its last word was a report to this host.
+    """Whether the host's last sign of life was a heartbeat to this host.
 
-    A report is sent twice a second, so its absence tells. No other host
-    may have heard it later.
+    Such a heartbeat is sent twice a second, so its absence shows that the host
+    is down. The result is false if another host has reported a later one.
     """
     if (
         member.reported_alive_at is NOTHING
@@ -426,7 +434,7 @@
 
 
 def supersedes(member, known, announced_at):
-    """Whether *member* is a newer start of the host that is *known*."""
+    """Whether *member* is a newer start of the host recorded as *known*."""
     if member.incarnation >= known.incarnation:
         return member.incarnation > known.incarnation
     if announced_at is NOTHING or known.last_seen_at is NOTHING:
@@ -435,9 +443,9 @@
 
 
 def is_responsive(member, now, silence):
-    """Whether a host answers reports, or may still do so.
+    """Whether a host answers heartbeats, or may still do so.
 
-    One that does not is passed over, and tried again after a while.
+    One that does not is skipped, and tried again after a while.
     """
     if member.reporting_since is NOTHING:
         member.reporting_since = now
@@ -450,7 +458,7 @@
 
 
 def placer_rank(member):
-    """Return the sort key by which hosts are asked to place."""
+    """Return the sort key by which hosts are asked for placements."""
     return (
         member.leaving,
         member.contact_age > MAX_CONTACT_AGE_SECONDS,
--- a/src/hyssopspring/traffic/retries.py
+++ b/src/hyssopspring/traffic/retries.py
@@ -1,29 +1,29 @@
-"""A budget of repeated attempts, kept without asking other hosts."""
+"""A budget of retries that holds over all hosts without messages."""
 
 from collections import deque
 
 __all__ = ["WindowedRetryBudget"]
 
 RATIO_FRACTION = 0.75
-"""Part of the allowed ratio that is used; the rest covers requests that
-are counted by another clock than ours."""
+"""Fraction of the allowed ratio that is used; the rest covers requests that
+fall into another window by the clock of whoever counts them."""
 
 EXTRA_FRACTION = 0.7
-"""Part of the allowed extra attempts that all hosts share out."""
+"""Fraction of the allowed extra retries that is divided among all hosts."""
 
 
 class WindowedRetryBudget:
-    """Allow repeats as a share of the requests of a sliding window.
+    """Allow retries as a share of the requests of a sliding window.
 
-    When most attempts fail, each host that repeats multiplies the load
-    and the servers never recover. Each host keeps to the ratio of its own
-    requests and to its part of the extra ones, so the sum over all hosts
-    keeps to the whole without a message between them.
+    When most attempts fail, each host that retries multiplies the load and the
+    servers never recover. Each host keeps to the ratio for its own requests
+    and to its part of the extra retries, so the sum over all hosts keeps to
+    the total without messages between them.
 
     Args:
-        ratio: Repeats allowed for each request.
-        extra: Repeats allowed besides, over all hosts.
-        window: Seconds of the window.
+        ratio: Retries allowed for each request.
+        extra: Retries allowed in addition, over all hosts.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio, extra, window):
@@ -39,15 +39,15 @@
         self.trim(self.requests[service], now)
 
     def spend(self, service, now, hosts):
-        """Take one repeat.
+        """Use one retry of the budget.
 
         Args:
             service: The service.
             now: The time.
-            hosts: Number of hosts that share the extra repeats.
+            hosts: Number of hosts that share the extra retries.
 
         Returns:
-            Whether there was one to take.
+            Whether the budget allowed it.
         """
         requests = self.requests.setdefault(service, deque())
         repeats = self.repeats.setdefault(service, deque())
@@ -60,6 +60,6 @@
         return True
 
     def trim(self, times, now):
-        """Drop the times that have left the window."""
+        """Remove the times that are older than the window."""
         while times and now - times[0] > self.window:
             times.popleft()
--- a/src/hyssopspring/traffic/retryafter.py
+++ b/src/hyssopspring/traffic/retryafter.py
@@ -1,4 +1,4 @@
-"""Servers that a host leaves alone for a while, as they asked for it."""
+"""Pauses that servers request from a host by Retry-After."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,31 @@
 __all__ = ["RetryAfterPause", "RetryAfterPauses"]
 
 MAX_PAUSE_SECONDS = 60.0
-"""Seconds of rest that are believed; one request a minute shows whether a
-server that asked for more takes work again."""
+"""Longest pause that is applied, in seconds. With one request a minute, the
+host finds out whether a server that requested a longer pause accepts requests
+again."""
 
 RAMP_STEP_SECONDS = 0.25
 RAMP_SECONDS = 1.0
-"""After a rest a host sends one request, and twice as many with each step,
-for so many seconds. All that had waited would come at once else."""
+"""After a pause a host sends one request, and twice as many with each step,
+for this many seconds. Otherwise all requests that had waited would arrive at
+once."""
 
 SPREAD_SECONDS = 0.5
-"""Seconds over which callers are spread who come back after a rest."""
+"""Seconds over which the retries of callers are spread after a pause."""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class RetryAfterPause:
-    """A rest of one server.
+    """A pause of one server.
 
     Attributes:
         server_id: The server.
-        start: Name of its start.
+        instance_id: Identifier of the server instance.
         until: Time of its end.
-        asked_at: Time at which the server asked for it.
-        request: Request that it turned away then.
-        sent: Requests sent to it since the end.
+        requested_at: Time at which the server requested it.
+        request: Request that the server rejected then.
+        sent: Number of requests sent to it since the end.
     """
 
     server_id: str
@@ -40,29 +42,31 @@
     sent: int = 0
 
     def is_blocked(self, now):
-        """Whether the host is to send nothing now."""
+        """Whether the host must not send a request now."""
         since = now - self.until
         if since < 0:
             return True
         return self.sent >= 2 ** int(since / RAMP_STEP_SECONDS)
 
     def describe(self, now):
-        """Return who asked for it and when, for a log line."""
+        """Return which response requested it and when, for a log line."""
         return (
-            f"{self.server_id} rests for {max(0.0, self.until - now):.1f} s, "
-            f"asked {now - self.requested_at:.1f} s ago as it turned "
-            f"{self.request} away"
+            f"{self.server_id} is in its retry-after pause for "
+            f"{max(0.0, self.until - now):.1f} s, "
+            f"requested {now - self.requested_at:.1f} s ago when it "
+            f"rejected {self.request}"
         )
 
     def is_over(self, now):
-        """Whether the server gets all work again."""
+        """Whether requests to the server are no longer restricted."""
         return now - self.until >= RAMP_SECONDS
 
 
 class RetryAfterPauses:
-    """The rests that servers asked this host for.
+    """The pauses that servers requested from this host.
 
-    A server asks only the host that it answers; others may go on.
+    A server requests a pause only from the host that it responds to; other
+    hosts may continue.
 
     Args:
         registry: The `Registry`.
@@ -75,10 +79,10 @@
         self.pauses = {}
 
     def record(self, server_id, request, seconds, now):
-        """Note that a server asked for rest.
+        """Record that a server requested a pause.
 
         Returns:
-            Whether it was not at rest before.
+            Whether the server was not paused before.
         """
         until = now + min(seconds, MAX_PAUSE_SECONDS)
         active = self.pause_of(server_id, now)
@@ -107,20 +111,20 @@
         return pause
 
     def is_blocked(self, server_id, now):
-        """Whether this host is to send a server nothing now."""
+        """Whether this host must not send a request to a server now."""
         pause = self.pause_of(server_id, now)
         return pause is not NOTHING and pause.is_blocked(now)
 
     def blocked(self, now):
-        """Return the servers to which this host is to send nothing now."""
+        """Return the servers to which this host must not send now."""
         return [one for one in list(self.pauses) if self.is_blocked(one, now)]
 
     def count_blocked(self, now):
-        """Return how many servers this host leaves alone."""
+        """Return the number of servers to which this host must not send."""
         return len(self.blocked(now))
 
     def record_sent(self, server_id, now):
-        """Count a request that is sent to a server after its rest."""
+        """Count a request that is sent to a server after its pause."""
         pause = self.pause_of(server_id, now)
         if pause is not NOTHING:
             pause.sent += 1
@@ -129,11 +133,11 @@
         """Return the `RetryAfterPause` that ends first, or `NOTHING`.
 
         Args:
-            server_ids: The servers that could be used but for their rests.
+            server_ids: The servers that could be used but for their pauses.
             now: The time.
 
         Returns:
-            `NOTHING` unless all of them are closed.
+            `NOTHING` unless all of them are blocked.
         """
         pauses = [self.pause_of(one, now) for one in server_ids]
         if not pauses or NOTHING in pauses:
@@ -143,6 +147,6 @@
         return min(pauses, key=lambda pause: pause.until)
 
     def retry_delay(self, pause, now):
-        """Return the seconds after which a refused caller may come back."""
+        """Return the seconds after which a refused caller should retry."""
         spread = SPREAD_SECONDS * self.rng.random()
         return max(0.0, pause.until - now) + spread
--- a/src/hyssopspring/traffic/routes.py
+++ b/src/hyssopspring/traffic/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and the versioned configuration that holds them."""
+"""Routes, services and the versioned configuration that contains them."""
 
 import enum
 from dataclasses import dataclass, field
@@ -18,10 +18,11 @@
 ]
 
 SPLIT_RESOLUTION = 10_000
+"""Number of steps into which the requests of a split route are hashed."""
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request more than once."""
+    """How often a request may be run."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -30,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One share of a route that is split over services.
+    """One service of a route that is split over several.
 
     Attributes:
         service: Name of the service.
-        weight: Its share, relative to the other weights of the route.
+        weight: Its share of requests, relative to the route's other weights.
     """
 
     service: str
@@ -47,16 +48,16 @@
 
     Attributes:
         name: Name given by the operator.
-        host: Host name that requests bear.
+        host: Value of the Host header, without a port.
         prefix: Start of the path, with a slash at both ends.
         kind: The `RequestKind`.
         timeout: Longest time to keep a request unanswered, in seconds.
-        objective: Time to the answer, or to a stream's first event, that
-            users want, in seconds.
+        objective: Target time to the response, or to a stream's first event,
+        in seconds.
         priority: Rank among the routes of a service; 0 is the highest.
         services: `WeightedService` of each service it is split over.
-        max_attempts: Most servers that may run one request.
-        resumable: Whether another server may go on with a stream.
+        max_attempts: Largest number of servers that may run one request.
+        resumable: Whether another server may resume a stream.
         homes: Regions that may serve it; empty for all.
         public: Whether callers need no key.
     """
@@ -76,21 +77,21 @@
 
     @property
     def repeatable(self):
-        """Whether a second run does no harm."""
+        """Whether a request may be run a second time."""
         if self.kind is RequestKind.IDEMPOTENT:
             return True
         return self.kind is RequestKind.STREAM and self.resumable
 
     @property
     def stream(self):
-        """Whether the answer is a series of events."""
+        """Whether the response is a stream of events."""
         return self.kind is RequestKind.STREAM
 
     def service_for(self, request_id):
-        """Return the service of one request of a split route.
+        """Return the service for one request of a split route.
 
-        The request's identifier decides, so that every host that handles
-        the request chooses the same.
+        The choice depends only on the request's identifier, so every host that
+        handles the request makes the same one.
         """
         if len(self.services) == 1:
             return self.services[0].service
@@ -107,14 +108,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineSpec:
-    """What the servers of a model service have.
+    """Resources of the servers of a model service.
 
     Attributes:
-        slots: Requests that run at once.
-        memory_tokens: Tokens that running requests and cached parts of
-            prompts share.
-        copy_seconds: Seconds in which one server copies a token that
-            another has cached; 0 if servers cannot.
+        slots: Number of requests that run concurrently.
+        memory_tokens: Number of tokens that running requests and cached parts
+        of prompts share.
+        copy_seconds: Seconds in which a server copies one token that another
+        has cached; 0 if servers cannot copy.
     """
 
     slots: int
@@ -124,13 +125,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A kind of backend server.
+    """A type of backend server.
 
     Attributes:
         name: Its name.
         cold_seconds: How long a server stays cold after its start.
-        cold_rate: Requests a second that a cold server stands; 0 if the
-            servers of the service are never cold.
+        cold_rate: Requests a second that a cold server tolerates; 0 if the
+        servers of the service are never cold.
         engine: `EngineSpec` of a model service, or `NOTHING`.
     """
 
@@ -142,10 +143,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestLimits:
-    """What a caller may send, and how long a connection may idle.
+    """Limits on the size of requests and the idle time of connections.
 
     Attributes:
-        body_bytes: Longest body.
+        body_bytes: Largest body, in bytes.
         idle_seconds: Longest time without a request on a connection.
     """
 
@@ -155,15 +156,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One version of all that operators have set.
+    """One version of everything that operators have configured.
 
     Attributes:
-        version: Its number; versions only go up.
+        version: Its number; versions only increase.
         routes: Each `Route`.
         services: `Service` by name.
         limits: The `RequestLimits`.
-        workspaces: `Workspace` by name; without any, no caller needs a
-            key.
+        workspaces: `Workspace` by name; without any, no caller needs a key.
     """
 
     version: int
@@ -204,25 +204,24 @@
         return NOTHING
 
     def needs_key(self, route):
-        """Whether callers of *route* must show a workspace's key."""
+        """Whether callers of *route* must send the key of a workspace."""
         return bool(self.workspaces) and not route.public
 
     def workspace_of(self, key_digest):
-        """Return the `Workspace` that holds a key, or `NOTHING`."""
+        """Return the `Workspace` that a key belongs to, or `NOTHING`."""
         return self.by_digest.get(key_digest, NOTHING)
 
     def service(self, name):
-        """Return the `Service` of *name*, with defaults if unknown."""
+        """Return the `Service` of *name*, or one with default values."""
         return self.services.get(name) or Service(name=name)
 
 
 class ConfigurationKeeper:
-    """Hold the configuration in force; it never goes back.
+    """Hold the configuration in force, and never return to an older one.
 
-    A read that was on its way while a newer version arrived, or a
-    neighbour that lags, would otherwise bring a dropped route back into
-    force: callers would see an answer of the new version and then one of
-    the old.
+    A read that was in progress while a newer version arrived, or another host
+    that lags, would otherwise put a removed route into force again: callers
+    would get a response of the new version and then one of the old.
     """
 
     def __init__(self):
@@ -230,11 +229,11 @@
 
     @property
     def version(self):
-        """Version in force, or 0 if none is known."""
+        """Version in force, or 0 if there is none."""
         return self.current.version if self.current else 0
 
     def offer(self, configuration):
-        """Take over *configuration* if it is newer; return whether."""
+        """Apply *configuration* if it is newer; return whether it was."""
         if configuration.version <= self.version:
             return False
         self.current = configuration
--- a/src/hyssopspring/traffic/serverhealth.py
+++ b/src/hyssopspring/traffic/serverhealth.py
@@ -1,4 +1,4 @@
-"""What requests have shown of a server, above what it says of itself."""
+"""Health of servers as observed in attempts, beyond their own reports."""
 
 import enum
 from dataclasses import dataclass
@@ -6,25 +6,26 @@
 __all__ = ["NOT_RUN", "NOT_SENT", "AttemptResult", "ServerHealth"]
 
 INITIAL_PAUSE_SECONDS = 0.5
-"""Seconds without requests after a first failure to reach a server; about
-the time in which a restarting process is back."""
+"""Seconds without requests after a first failure to reach a server; about the
+time that a process takes to restart."""
 
 MAX_PAUSE_SECONDS = 4.0
-"""Most seconds without a request; a server that is back waits no longer
-for its next trial."""
+"""Longest pause in seconds, and so the longest wait of a server that is up
+again for its next trial request."""
 
 FULL_PAUSE_SECONDS = 0.15
-"""Seconds for which a server that was full is passed over."""
+"""Seconds for which a server that was full gets no requests."""
 
 ERROR_RATE_SMOOTHING = 0.08
-"""Weight of one answer in the error rate; about the last dozen count."""
+"""Weight of one response in the moving error rate; about the last dozen
+responses count."""
 
 TRIAL_SECONDS = 1.0
-"""Seconds for which one trial keeps others from a suspected server."""
+"""Seconds for which a trial request keeps others from a server that failed."""
 
 
 class AttemptResult(enum.IntEnum):
-    """How an attempt at a server went.
+    """How an attempt at a server ended.
 
     `CANCELLED` was given up midway; `UNUSED` was never sent.
     """
@@ -40,38 +41,40 @@
 
 
 NOT_RUN = (AttemptResult.FULL, AttemptResult.MISDIRECTED, AttemptResult.UNUSED)
-"""Findings that show that the server has not run the request."""
+"""Results that show that the server has not run the request."""
 
 
 NOT_SENT = (AttemptResult.UNREACHED, AttemptResult.UNUSED)
-"""Findings that show that the server has got nothing."""
+"""Results that show that the server has received nothing."""
 
 MAY_BE_BUSY = (AttemptResult.SILENT,)
-"""Findings that do not speak against a server that answers others: it is
-busy, or fails some; pausing it would refuse all that it could serve."""
+"""Results that do not count as failures of a server that answers other
+requests: it is busy, or fails some requests. A pause would refuse all those
+that it could serve."""
 
 RECENT_ANSWER_SECONDS = 1.0
-"""Seconds for which an answer shows that a server is up."""
+"""Seconds for which a response shows that a server is up."""
 
 NEVER = -1e9
-"""Time of an answer that has not come."""
+"""Time of the last response of a server that has sent none."""
 
 FAILURE_RESULTS = (
     AttemptResult.UNREACHED,
     AttemptResult.SILENT,
     AttemptResult.MISDIRECTED,
 )
+"""Results that count as a failure to reach the server."""
 
 
 @dataclass(slots=True, eq=False)
 class ServerHealth:
-    """What attempts have shown of one server.
+    """Health of one server.
 
     Attributes:
-        failures: Failures to reach it in a row.
-        paused_until: Time until which it gets nothing.
-        error_rate: Moving share of answers that were its own failures.
-        answered_at: Time of the last answer that began.
+        failures: Number of consecutive failures to reach it.
+        paused_until: Time until which it gets no requests.
+        error_rate: Moving share of responses that were server errors.
+        answered_at: Time at which its latest response started.
     """
 
     failures: int = 0
@@ -81,19 +84,19 @@
 
     @property
     def has_answered(self):
-        """Whether it has ever answered."""
+        """Whether it has ever responded."""
         return self.answered_at > NEVER
 
     def record_answer(self, now):
-        """Note that an answer of the server has begun."""
+        """Record that a response of the server has started."""
         self.answered_at = now
         self.failures = 0
 
     def record_result(self, result, now):
-        """Take account of the end of an attempt.
+        """Record the result of an attempt.
 
         Returns:
-            Whether the server is now newly suspected.
+            Whether this is the first of consecutive failures.
         """
         if result in (AttemptResult.CANCELLED, AttemptResult.UNUSED):
             return False
@@ -112,7 +115,11 @@
         return False
 
     def start_pause(self, now):
-        """Pause the server, longer with each failure in a row."""
+        """Pause the server, longer with each consecutive failure.
+
+        Returns:
+            Whether this is the first failure.
+        """
         pause = min(
             MAX_PAUSE_SECONDS, INITIAL_PAUSE_SECONDS * 2**self.failures
         )
@@ -121,10 +128,10 @@
         return self.failures == 1
 
     def is_available(self, now):
-        """Whether the server may get a request."""
+        """Whether requests may be sent to the server."""
         return now >= self.paused_until
 
     def begin_trial(self, now):
-        """Let one request through to a suspected server, not a burst."""
+        """Limit a server that failed to one trial request, not a burst."""
         if self.failures:
             self.paused_until = max(self.paused_until, now + TRIAL_SECONDS)
--- a/src/hyssopspring/traffic/serverlimits.py
+++ b/src/hyssopspring/traffic/serverlimits.py
@@ -1,10 +1,10 @@
-"""Limits that servers name, kept by all hosts of a region together.
+"""Request rate limits that servers announce, enforced across a region.
 
-A server in need says in its answers how many requests a second it takes.
-Who places for the region lets so many through, by a bucket for each such
-server. Hosts that place beside each other, as the region is cut or the
-placing host is lost, use the part of the limit that belongs to the hosts
-that count on them.
+An overloaded server states in its responses how many requests a second it
+accepts. The placing host of the region enforces the limit with a token bucket
+for each such server. While several hosts place at the same time, because the
+region is partitioned or its placing host is lost, each uses the part of the
+limit that corresponds to the hosts that rely on it.
 """
 
 import math
@@ -17,56 +17,56 @@
 __all__ = ["UNLIMITED", "LimitNotice", "ServerLimits"]
 
 UNLIMITED = math.inf
-"""Limit of a server that names none any more."""
+"""Limit of a server that no longer announces one."""
 
 MIN_LIMIT = 0.1
-"""Requests a second that a server gets although it names less: only an
-answer can tell that it takes more again."""
+"""Requests a second that a server gets even if it announces less: only a
+response can show that it accepts more again."""
 
 LIMIT_HOLD_SECONDS = 1.0
-"""Seconds for which the lowest of several limits holds. Answers overtake
-each other on their way, and on the way between hosts."""
+"""Seconds for which the lowest of several limits applies. Responses, and the
+messages on them between hosts, may arrive out of order."""
 
 BURST_SECONDS = 0.5
-"""Seconds of a limit that may be let through at once, besides one request.
-The rest of what servers tolerate covers hosts that begin to place."""
+"""Seconds of a limit that may be sent at once, in addition to one request. The
+rest of what servers tolerate covers hosts that start to place."""
 
 SHARE_FACTOR = 1.25
 SHARE_EXTRA_RATE = 0.5
-"""What a host that counts for a part of the region may use of that part, and
-requests a second for a whole region besides. Servers tolerate more in all;
-without it, half of a limit would lie idle after the loss of a host."""
+"""Factor on a host's share of a limit, and requests a second for a whole
+region on top of it. Servers tolerate more in total; without this allowance,
+half of a limit would stay unused after the loss of a host."""
 
 MIN_RATE = 0.001
-"""Requests a second below which times are not told any longer."""
+"""Requests a second below which a wait is not extended any further."""
 
 MIN_REFILL_BURST = 0.25
-"""Burst below which a bucket is not filled while nobody asks: each of many
+"""Burst below which an idle bucket is not refilled: otherwise each of many
 hosts would hold one request ready."""
 
 IDLE_SECONDS = 2.0
-"""Seconds without a question after which that is so."""
+"""Seconds since the last read after which a bucket counts as idle."""
 
 UNKNOWN_SERVER_RETENTION_SECONDS = 5.0
-"""Seconds for which the limit of a server is kept without its entry; word
-of the server may come before it."""
+"""Seconds for which the limit of a server without an entry is kept; the notice
+may arrive before the entry."""
 
 ENDED_LIMIT_RETENTION_SECONDS = 10.0
 """Seconds for which the end of a limit is remembered, so that a host that
-missed it does not bring the limit back."""
+missed it does not restore the limit."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LimitNotice:
-    """What an answer of a server said of its limit.
+    """The limit that a server announced in a response.
 
     Attributes:
         server_id: The server.
-        start: Name of its start.
+        instance_id: Identifier of the server instance.
         limit: Requests a second, or `UNLIMITED`.
-        at: Time at which it was heard.
-        host: Host that heard it.
-        request: Request to which it was the answer.
+        at: Time at which the response was received.
+        host: Host that received it.
+        request: Request to which it was the response.
     """
 
     server_id: str
@@ -79,11 +79,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAdvice:
-    """When a refused caller may come back.
+    """When a refused caller should retry.
 
     Attributes:
         seconds: Seconds from now.
-        server_id: The server that takes a request first.
+        server_id: The server that accepts a request first.
     """
 
     seconds: float
@@ -92,12 +92,12 @@
 
 @dataclass(slots=True, eq=False)
 class Bucket:
-    """Requests that may go to one server now.
+    """Token bucket of the requests that may be sent to one server.
 
     Attributes:
-        level: Their number, with a fraction.
-        at: Time for which *level* holds.
-        asked_at: Time of the last question.
+        level: Number of requests, with a fraction.
+        at: Time at which *level* was computed.
+        last_read_at: Time of the last read.
     """
 
     level: float
@@ -112,8 +112,7 @@
     Attributes:
         newest: The newest `LimitNotice`.
         bucket: The `Bucket`.
-        recent: Time and limit of each notice of late that named another
-            limit than the one before it.
+        recent: Time and limit of each recent notice that changed the limit.
     """
 
     newest: LimitNotice
@@ -121,7 +120,7 @@
     recent: deque = field(default_factory=deque)
 
     def add(self, notice):
-        """Remember what a notice names for a while."""
+        """Add the limit of a notice to the recent ones."""
         if self.recent and self.recent[-1][1] == notice.limit:
             at, _ = self.recent.pop()
             self.recent.append((max(at, notice.at), notice.limit))
@@ -137,11 +136,11 @@
 
 
 class ServerLimits:
-    """Let through what servers take, and say when there is more.
+    """Enforce the announced limits, and compute retry times for refusals.
 
     Args:
-        weight: Called for the part of the region's hosts that count on
-            this one to place, from 0 to 1.
+        weight: Called for the share of the region's hosts that rely on this
+        host for placement, from 0 to 1.
         rng: Random number generator.
     """
 
@@ -153,10 +152,10 @@
         self.digest = 0
 
     def apply_notice(self, notice, now):
-        """Take a `LimitNotice`.
+        """Apply a `LimitNotice`.
 
         Returns:
-            Whether the server names another limit than was known.
+            Whether the server's limit has changed.
         """
         state = self.by_server.get(notice.server_id)
         if (
@@ -177,7 +176,7 @@
         return notice.limit != before
 
     def add_limit(self, notice, now):
-        """Keep a limit that was not known; return True."""
+        """Add the first limit of a server instance; return True."""
         state = ServerLimit(notice, self.new_bucket(now))
         state.add(notice)
         self.by_server[notice.server_id] = state
@@ -187,13 +186,13 @@
     def new_bucket(self, now):
         """Return a `Bucket` that holds less than one request.
 
-        How much is drawn, so that many hosts that begin to place at the
-        same moment do not all send their first request together.
+        The level is random, so that many hosts that start to place at the same
+        moment do not send their first requests together.
         """
         return Bucket(self.rng.random(), now, now)
 
     def update_digest(self):
-        """Note anew what sums up all limits that are named."""
+        """Recompute the digest of all limits that apply."""
         known = sorted(
             f"{state.newest.instance_id} {state.newest.limit}"
             for state in self.by_server.values()
@@ -206,15 +205,15 @@
         return [state.newest for state in self.by_server.values()]
 
     def forget(self, server_id):
-        """Drop what a server named that is gone or has started anew."""
+        """Drop the limit of a server that is gone or has restarted."""
         if self.by_server.pop(server_id, None) is not None:
             self.update_digest()
 
     def forget_unknown(self, known, now):
-        """Drop limits of servers that are gone.
+        """Drop the limits of servers that are gone.
 
         Args:
-            known: Identifiers of the servers that are known.
+            known: Identifiers of the listed servers.
             now: The time.
         """
         for server_id, state in list(self.by_server.items()):
@@ -244,13 +243,13 @@
         return limit if limit < UNLIMITED else NOTHING
 
     def count_limited(self, now):
-        """Return how many servers have a limit."""
+        """Return the number of servers that have a limit."""
         return sum(
             self.limit_of(one, now) is not NOTHING for one in self.by_server
         )
 
     def can_send(self, server_id, now):
-        """Whether a server can be sent a request now."""
+        """Whether a request may be sent to a server now."""
         limit = self.limit_of(server_id, now)
         return limit is NOTHING or self.refill(server_id, limit, now) >= 1.0
 
@@ -262,13 +261,13 @@
             self.by_server[server_id].bucket.level -= 1.0
 
     def refund(self, server_id):
-        """Take back one that was counted and not sent."""
+        """Return the token of a request that was counted but not sent."""
         state = self.by_server.get(server_id)
         if state is not None:
             state.bucket.level += 1.0
 
     def refill(self, server_id, limit, now):
-        """Add what the time has brought; return the level of the bucket."""
+        """Refill the bucket for the elapsed time; return its level."""
         bucket = self.by_server[server_id].bucket
         weight = self.weight()
         burst = weight * (1.0 + limit * BURST_SECONDS)
@@ -285,14 +284,14 @@
         return bucket.level
 
     def available(self, server_id, now):
-        """Return the requests that a server takes at once, or `NOTHING`."""
+        """Return the requests that may be sent at once, or `NOTHING`."""
         limit = self.limit_of(server_id, now)
         if limit is NOTHING:
             return NOTHING
         return max(0, int(self.refill(server_id, limit, now)))
 
     def seconds_until_free(self, server_id, now):
-        """Return the seconds until a server can be sent a request."""
+        """Return the seconds until a request may be sent to a server."""
         limit = self.limit_of(server_id, now)
         if limit is NOTHING:
             return 0.0
@@ -301,16 +300,16 @@
         return max(0.0, missing) / max(rate, MIN_RATE)
 
     def advise_retry(self, service, server_ids, now, max_seconds):
-        """Return the `RetryAdvice` to a caller who is refused.
+        """Return the `RetryAdvice` for a refused caller.
 
-        Callers who are refused one after the other are given one time
-        after the other, as the servers take no more.
+        Callers that are refused one after the other get successive retry
+        times, at the rate that the servers accept.
 
         Args:
-            service: The service that they need.
-            server_ids: Its servers that a limit holds back.
+            service: The requested service.
+            server_ids: Its servers that are at their limits.
             now: The time.
-            max_seconds: Longest time to tell, in seconds.
+            max_seconds: Longest advised time, in seconds.
         """
         waits = {one: self.seconds_until_free(one, now) for one in server_ids}
         first = min(waits, key=waits.get)
@@ -327,26 +326,26 @@
         return RetryAdvice(at - now, first)
 
     def describe(self, server_id, now):
-        """Return what named the limit of a server, for a log line.
+        """Return text on the source of a server's limit, for a log line.
 
         Returns:
-            Text, or "" if it has none.
+            The text, or an empty string if the server has no limit.
         """
         if self.limit_of(server_id, now) is NOTHING:
             return ""
         newest = self.by_server[server_id].newest
         return (
-            f"{server_id} takes {newest.limit:g} a second, said "
-            f"{now - newest.at:.1f} s ago to {newest.host} in the answer to "
+            f"{server_id} accepts {newest.limit:g} requests/s, announced "
+            f"{now - newest.at:.1f} s ago to {newest.host} in the response to "
             f"{newest.request}"
         )
 
 
 def local_rate(limit, weight):
-    """Return the requests a second that a host may let through.
+    """Return the requests a second that this host may send.
 
     Args:
-        limit: Requests a second that the server takes.
-        weight: Part of the region's hosts that count on this one.
+        limit: Requests a second that the server accepts.
+        weight: Share of the region's hosts that rely on this host.
     """
     return min(limit, weight * (limit * SHARE_FACTOR + SHARE_EXTRA_RATE))
--- a/src/hyssopspring/traffic/servers.py
+++ b/src/hyssopspring/traffic/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers as the registry names them, and who may be used."""
+"""Backend servers listed in the registry, and which of them may be used."""
 
 import enum
 from dataclasses import dataclass, replace
@@ -9,22 +9,23 @@
 __all__ = ["LeavingNotice", "Registry", "Server", "ServerEntry", "Usability"]
 
 COLD_MARGIN_SECONDS = 0.7
-"""Seconds by which a cold phase is taken to last longer than told, for
-the age of the entry and the way of a request to the server."""
+"""Seconds added to the cold phase that an entry states. They cover the age of
+the entry and the time that a request takes to reach the server."""
 
 ABSENCE_GRACE_SECONDS = 2.2
-"""Seconds for which servers that vanished while the registry could not be
-read are still used after its return; registrations are back within two
-seconds, and a server that left serves for several more."""
+"""Seconds for which servers that vanished while the registry was unreachable
+are still used after its return. Servers register again within two seconds, and
+a server that shut down meanwhile serves for several more."""
 
 
 LEAVING_NOTICE_RETENTION_SECONDS = 30.0
-"""Seconds for which a server that said that it leaves is remembered beyond
-its entry. The entry may lapse and come back, without a word on that."""
+"""Seconds for which a server that announced its shutdown is remembered after
+its entry is gone. The entry may lapse and come back without the leaving
+flag."""
 
 
 class Usability(enum.Enum):
-    """Whether a server may get requests."""
+    """Whether requests may be sent to a server."""
 
     READY = enum.auto()
     COLD = enum.auto()
@@ -37,14 +38,15 @@
 
     Attributes:
         id: Identifier of the server.
-        born: Unix time of its start in milliseconds; 0 if not told.
+        born: Unix time of its start in milliseconds; 0 if not given.
         service: Service that it offers.
         address: ``ip:port``.
-        data_centre: Where it stands.
-        slots: Requests that it runs at once.
-        leaving: Whether it is about to go.
-        cold_left: Seconds for which it stays cold, as of the entry.
-        gone_in: Seconds until it is gone without fail, or `NOTHING`.
+        data_centre: Data centre that it runs in.
+        slots: Number of requests that it runs concurrently.
+        leaving: Whether it is draining before its shutdown.
+        cold_left: Seconds for which it stays cold, counted from the entry.
+        terminates_in: Seconds until it is terminated at the latest, or
+        `NOTHING`.
     """
 
     id: str
@@ -60,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeavingNotice:
-    """An answer of a server said that it leaves.
+    """A server's announcement, in a response, that it is draining.
 
     Attributes:
         server_id: The server.
-        start: Name of its start.
-        at: Time at which it was heard.
-        host: Host that heard it.
-        request: Request to which it was the answer.
-        address: Its ``ip:port``.
+        instance_id: Identifier of the server instance.
+        at: Time at which the response was received.
+        host: Host that received it.
+        request: Request to which it was the response.
+        address: The ``ip:port`` of the server.
     """
 
     server_id: str
@@ -81,14 +83,16 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server and what this host believes of it.
+    """A server and its state as recorded on this host.
 
     Attributes:
         entry: The newest `ServerEntry`.
         region: Region of its data centre.
         cold_until: Time until which it counts as cold.
-        absent_since: Time since when the registry lacks it, or `NOTHING`.
-        gone_at: Time at which it is gone without fail, or `NOTHING`.
+        absent_since: Time since which the registry does not list it, or
+        `NOTHING`.
+        terminates_at: Time at which it is terminated at the latest, or
+        `NOTHING`.
     """
 
     entry: ServerEntry
@@ -98,14 +102,14 @@
     terminates_at: object = NOTHING
 
     def usability(self, now):
-        """Return its `Usability` at *now*, evacuations aside."""
+        """Return its `Usability` at *now*, ignoring evacuations."""
         if self.entry.leaving:
             return Usability.LEAVING
         return Usability.COLD if now < self.cold_until else Usability.READY
 
 
 class Registry:
-    """All servers that this host knows.
+    """All servers that this host has received entries of.
 
     Args:
         regions: Region by data centre.
@@ -121,15 +125,16 @@
         self.leaving_digest = 0
 
     def put(self, entry, now):
-        """Take over an entry of the registry.
+        """Apply an entry of the registry.
 
-        A server may start again under its identifier. It then knows and
-        holds nothing of before, so what is believed of the former one,
-        its leaving too, does not hold for it. An entry of the former one
-        that a neighbour's copy brings later is passed over.
+        A server may restart under the same identifier. The new instance has
+        none of the requests and caches of the old one, so the recorded state
+        of the old instance, including that it was draining, does not apply to
+        it. An entry of the old instance that arrives later from another host's
+        copy is ignored.
 
         Returns:
-            Whether the server, or this start of it, is new to this host.
+            Whether the server, or this instance of it, is new to this host.
         """
         server = self.servers.get(entry.id)
         if server is not None and entry.born < server.entry.born:
@@ -159,16 +164,16 @@
         return is_new
 
     def remove(self, server_id, now, *, outage):
-        """Note that the registry no longer holds a server.
+        """Apply the removal of a server from the registry.
 
-        While the registry is away registrations lapse although their
-        servers live. Dropping them all would refuse every request until
-        they are back, so they are kept for `ABSENCE_GRACE_SECONDS`.
+        During an outage of the registry, registrations lapse although the
+        servers are up. Dropping them all would refuse every request until they
+        have registered again, so they are kept for `ABSENCE_GRACE_SECONDS`.
 
         Args:
             server_id: Its identifier.
             now: The time.
-            outage: Whether the registry has just come back.
+            outage: Whether the registry has just become reachable again.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -181,7 +186,7 @@
         self.candidate_cache.clear()
 
     def expire(self, now):
-        """Drop the servers whose registration did not come back.
+        """Drop servers that did not register again or are terminated.
 
         Returns:
             Identifiers of the dropped servers.
@@ -198,7 +203,7 @@
         return gone
 
     def replace_all(self, entries, now, *, outage):
-        """Take over the whole registry."""
+        """Replace the servers by a full listing of the registry."""
         listed = {entry.id for entry in entries}
         for server_id in list(self.servers):
             if server_id not in listed:
@@ -207,17 +212,17 @@
             self.put(entry, now)
 
     def evacuate(self, data_centres, now, cold_seconds):
-        """Use no server of *data_centres*, and again those of the others.
+        """Set the evacuated data centres; servers of all others are usable.
 
-        Servers of a data centre that is taken back are cold at first,
-        and their entries say so only with a lag; a burst at that moment
-        would crash them.
+        Servers of a data centre that returns are cold at first, and their
+        entries show it only with a delay; a burst at that moment would crash
+        them.
 
         Args:
             data_centres: All data centres that are evacuated.
             now: The time.
             cold_seconds: Called with a service; returns for how long its
-                servers are cold after a start.
+            servers are cold after a start.
         """
         returned = self.evacuated - set(data_centres)
         self.evacuated = set(data_centres)
@@ -229,10 +234,10 @@
                 server.cold_until = max(server.cold_until, until)
 
     def usability(self, server_id, now):
-        """Return whether requests may go to a server.
+        """Return whether requests may be sent to a server.
 
         Returns:
-            Its `Usability`, or `NOTHING` if it is not known here.
+            Its `Usability`, or `NOTHING` if this host has no entry of it.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -242,26 +247,26 @@
         return server.usability(now)
 
     def current_instance(self, server_id):
-        """Return the name of the start of a server that is known here.
+        """Return the instance identifier of a listed server.
 
-        A server may start again under its identifier; what was said of or
-        by the one before does not hold for it.
+        A server may restart under the same identifier; what was reported about
+        or by the former instance does not apply to the new one.
         """
         server = self.servers.get(server_id)
         return server_id if server is None else instance_id_of(server.entry)
 
     def is_current_instance(self, server_id, instance_id):
-        """Whether this start of a server is the one that is known here."""
+        """Whether an instance of a server is the one that is listed here."""
         server = self.servers.get(server_id)
         return (
             server is not None and instance_id_of(server.entry) == instance_id
         )
 
     def drop_notice_if_moved(self, entry):
-        """Forget that a server leaves that has moved.
+        """Drop the leaving notice of a server whose address has changed.
 
-        Without the time of its start in its entry, nothing else shows that
-        it is another one under the same identifier.
+        If the entry has no start time, nothing else shows that it describes a
+        new instance under the same identifier.
         """
         notice = self.leaving_notices.get(instance_id_of(entry))
         if notice is not None and notice.address != entry.address:
@@ -269,17 +274,17 @@
             self.update_leaving_digest()
 
     def record_leaving(self, notice, now):
-        """Use a server no more that says that it leaves.
+        """Stop using a server that announced that it is draining.
 
-        The store may be late to say so, or not say it at all. Word of a
-        server may come before its entry does.
+        The store may report this late or never. A notice may arrive before the
+        entry of its server.
 
         Args:
             notice: The `LeavingNotice`.
             now: The time.
 
         Returns:
-            Whether that start of the server was not known to leave.
+            Whether this instance was not yet recorded as draining.
         """
         server = self.servers.get(notice.server_id)
         if server is not None and not notice_matches_entry(
@@ -299,7 +304,7 @@
         return True
 
     def update_leaving_digest(self):
-        """Note anew what sums up the servers that said that they leave."""
+        """Recompute the digest of all instances with a leaving notice."""
         self.leaving_digest = 0
         if self.leaving_notices:
             self.leaving_digest = hash_text(
@@ -307,17 +312,17 @@
             )
 
     def leaving_by_answer(self):
-        """Return how many servers that are known said that they leave."""
+        """Return the number of listed servers with a leaving notice."""
         return sum(
             one.server_id in self.servers
             for one in self.leaving_notices.values()
         )
 
     def describe_leaving(self, service, region, now):
-        """Return which servers said that they leave, for a log line."""
+        """Return text on the draining servers of a service, for a log line."""
         return ", ".join(
-            f"{one.server_id} leaves, said {now - one.at:.1f} s ago to "
-            f"{one.host} in the answer to {one.request}"
+            f"{one.server_id} is draining, announced {now - one.at:.1f} s "
+            f"ago to {one.host} in the response to {one.request}"
             for one in self.leaving_notices.values()
             if self.is_current_instance(one.server_id, one.instance_id)
             and self.servers[one.server_id].entry.service == service
@@ -325,7 +330,7 @@
         )
 
     def expire_leaving_notices(self, now):
-        """Forget servers that said that they leave, and are gone."""
+        """Drop old notices of instances that are no longer listed."""
         old = [
             instance_id
             for instance_id, notice in self.leaving_notices.items()
@@ -340,7 +345,8 @@
     def candidates(self, service, region, now):
         """Return the servers of *service* in *region* that may be used.
 
-        They are kept until an entry changes: each choice asks for them.
+        The list is cached until an entry changes, because every placement
+        reads it.
         """
         found = self.candidate_cache.get((service, region))
         if found is None:
@@ -356,18 +362,18 @@
 
 
 def instance_id_of(entry):
-    """Return the name of the start of a server that an entry tells of."""
+    """Return the identifier of the server instance that an entry describes."""
     return f"{entry.id}/{entry.born}" if entry.born else entry.id
 
 
 def notice_matches_entry(notice, entry):
-    """Whether a notice is on the start of a server that an entry names."""
+    """Whether a notice concerns the instance that an entry describes."""
     same = notice.address == entry.address
     return same and notice.instance_id == instance_id_of(entry)
 
 
 def eligibility_changed(entry, known):
-    """Whether an entry says something new on who may use a server."""
+    """Whether an entry changes which requests its server may get."""
     return (entry.service, entry.data_centre, entry.leaving) != (
         known.service,
         known.data_centre,
@@ -376,7 +382,7 @@
 
 
 def is_terminated(server, now):
-    """Whether a server is to be taken as gone at *now*."""
+    """Whether a server counts as gone at *now*."""
     if server.absent_since is not NOTHING:
         return now - server.absent_since > ABSENCE_GRACE_SECONDS
     return server.terminates_at is not NOTHING and now > server.terminates_at
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets that hold over all hosts without a message between them."""
+"""Budgets that hold over all hosts without messages between them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,17 +7,17 @@
 from hyssopspring.traffic.retries import WindowedRetryBudget
 
 COLD_REQUESTS_PER_SECOND = 6.3
-"""Requests that a cold server stands in a second at the first users: 2.2 a
+"""Requests that a cold server tolerates in a second for the first users: 2.2 a
 second, times 1.5, and 3 more."""
 
 
 @given(st.lists(st.floats(0.0, 0.2), min_size=1, max_size=120))
 def test_concurrent_placers_keep_within_the_cold_bound(gaps):
-    """A cold server crashes, since two hosts both believe that they place.
+    """Guards against crashing a cold server while two hosts place.
 
-    Views of who lives differ for a second after a cut or a restart. Each
-    host counts by itself; all that may place at once, taken together,
-    must stay within the bound in any second.
+    The hosts' membership lists differ for a second after a partition or a
+    restart. Each host counts independently; all that may place at once must
+    stay within the bound together in any second.
     """
     placers = [ColdRates() for _ in range(CONCURRENT_PLACERS)]
     now, sent = 0.0, []
@@ -33,7 +33,10 @@
 
 
 def test_requests_before_the_cold_state_arrives_count():
-    """A server is cold already when its word of it arrives."""
+    """Guards against ignoring requests sent before a server's cold state.
+
+    The server is already cold when its cold state arrives.
+    """
     rates = ColdRates()
     rates.count("s1", 0.0)
     rates.count("s1", 0.1)
@@ -49,11 +52,11 @@
     )
 )
 def test_hosts_together_keep_within_the_retry_budget(steps):
-    """An outage multiplies its own load by retries.
+    """Guards against an outage that multiplies its own load by retries.
 
-    Seven hosts see most attempts fail and each repeats as far as its own
-    window allows. The sum of their repeats keeps to a fifth of the
-    requests and 54 in any ten seconds.
+    Seven hosts see most attempts fail and each retries as far as its own
+    window allows. The sum of their retries keeps to a fifth of the requests
+    and 54 in any ten seconds.
     """
     hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     now, requests, repeats = 0.0, [], []
@@ -70,7 +73,10 @@
 
 
 def test_a_storm_of_failures_on_all_hosts_keeps_within_the_budget():
-    """Every attempt fails on all seven hosts at once, for ten seconds."""
+    """Guards against a retry storm on all hosts at once.
+
+    Every attempt fails on all seven hosts for ten seconds.
+    """
     hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     repeats = 0
     for step in range(1000):
@@ -81,7 +87,7 @@
 
 
 def test_hosts_that_saw_few_requests_share_the_extra_repeats():
-    """A service that few ask for gets more repeats than it stands."""
+    """Guards against too many retries of a service with few requests."""
     hosts = [WindowedRetryBudget(0.2, 54.0, 10.0) for _ in range(7)]
     repeats = 0
     for host in hosts:
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which requests servers end under, decided without network."""
+"""Which requests are blocked after server crashes, decided without network."""
 
 import random
 
@@ -28,12 +28,12 @@
 
 @pytest.fixture
 def crashes():
-    """Return what a host knows that has seen no server end."""
+    """Return the tracker of a host that has seen no server crash."""
     return CrashTracker()
 
 
 def record_crashes(crashes, fingerprint, servers, at=0.0, caller="c"):
-    """Note that *servers* ended as a request began on them."""
+    """Record that *servers* crashed as a request started on them."""
     for server in servers:
         crashes.record_crash(
             fingerprint, ServerCrash(server, at, "h", caller), at
@@ -41,7 +41,7 @@
 
 
 def test_the_third_crash_blocks_a_request(crashes):
-    """Servers end under one request for as long as its caller comes back."""
+    """Guards against servers that crash for as long as a caller retries."""
     record_crashes(crashes, "bad", "ab")
     assert_that(crashes.verdict("bad", "c", LATER), Equals(Verdict.ISOLATED))
     record_crashes(crashes, "bad", "c", 1.0)
@@ -55,11 +55,12 @@
 
 
 def test_requests_beside_the_cause_are_still_served(crashes):
-    """Everybody's drafts are refused for minutes after one bad request.
+    """Guards against refusing requests that ran beside the cause.
 
-    Three servers end under one request, and others had been sent to the
-    same three. Nothing tells them apart yet, so none is blocked; the next
-    end, of a server at which only one of them was, shows the cause.
+    Three servers crash under one request, and others had been sent to the same
+    three. Nothing distinguishes them yet, so none is blocked; the next crash,
+    of a server that only one of them was sent to, shows the cause. Otherwise
+    all their callers would be refused for minutes after one bad request.
     """
     for fingerprint in ("bad", "beside", "beside too"):
         record_crashes(crashes, fingerprint, "abc")
@@ -76,7 +77,7 @@
 
 
 def test_two_causes_at_the_same_servers_are_both_found(crashes):
-    """One of two bad requests hides behind the other."""
+    """Guards against one of two bad requests that is masked by the other."""
     record_crashes(crashes, "bad", "abcd")
     record_crashes(crashes, "worse", "abc")
     crashes.block_causes(LATER)
@@ -86,10 +87,11 @@
 
 
 def test_a_cause_beside_another_is_found_by_two_crashes_of_its_own(crashes):
-    """A bad request ends three servers more, as it was near another one.
+    """Guards against a bad request that crashes three more servers.
 
-    Both were at three servers that ended. One was blocked, and the ends
-    counted for nothing against the other.
+    It was at three crashed servers together with another bad request, which
+    was blocked. The crashes that this one explains counted for nothing against
+    the other.
     """
     record_crashes(crashes, "bad", "abcd")
     record_crashes(crashes, "worse", "abc")
@@ -101,7 +103,7 @@
 
 
 def test_a_blocked_request_stays_blocked_whatever_others_meet(crashes):
-    """A bad request is sent on, as another has seen more ends by now."""
+    """Guards against unblocking when another request has more crashes."""
     record_crashes(crashes, "bad", "abcd")
     record_crashes(crashes, "unlucky", "abc")
     crashes.block_causes(LATER)
@@ -111,7 +113,7 @@
 
 
 def test_a_successful_run_clears_a_request(crashes):
-    """A request that ran well is refused, as servers ended near it."""
+    """Guards against refusing a request that ran well despite near crashes."""
     record_crashes(crashes, "good", "ab")
     assert crashes.record_success("good", "c", 1.0)
     record_crashes(crashes, "good", "c", 2.0)
@@ -122,10 +124,11 @@
 
 
 def test_another_caller_has_one_try(crashes):
-    """A caller is refused for what another's request did.
+    """Guards against refusing a caller for what another's request did.
 
-    Both send the same. It may run well for the other one, and does so; or
-    a server ends under it too, and then it is the request.
+    Both send the same request. For the second caller it may run well, and then
+    does not clear the first; or a server crashes under it too, and then it is
+    blocked for all callers.
     """
     record_crashes(crashes, "bad", "abc")
     crashes.block_causes(LATER)
@@ -138,7 +141,7 @@
 
 
 def test_a_request_is_tried_again_after_a_while(crashes):
-    """A request is refused for good that newer servers run well."""
+    """Guards against refusing forever what newer servers run well."""
     record_crashes(crashes, "bad", "abc")
     crashes.block_causes(LATER)
     crashes.expire(RETENTION_SECONDS)
@@ -157,7 +160,7 @@
 
 
 def test_memory_is_bounded_and_keeps_what_matters(crashes):
-    """A host runs out of memory while servers end by the hundred."""
+    """Guards against exhausted memory when hundreds of servers crash."""
     record_crashes(crashes, "bad", "abc")
     crashes.block_causes(LATER)
     for number in range(MAX_SUSPECTS * 2):
@@ -180,7 +183,7 @@
 def test_what_has_run_for_a_while_is_not_the_cause(
     ran_for, head_received, response_age, early
 ):
-    """A stream is refused whose servers were stopped midway."""
+    """Guards against blocking a stream whose servers were stopped midway."""
     found = may_be_cause(
         ran_for=ran_for,
         predicted=0.2,
@@ -202,9 +205,9 @@
 
 @given(ROWS, st.randoms(use_true_random=False))
 def test_hosts_with_the_same_reports_reach_the_same_verdicts(rows, rng):
-    """One host blocks a request that another lets through.
+    """Guards against one host blocking a request that another allows.
 
-    Word of an end comes doubled and in any order.
+    Reports of a crash arrive duplicated and in any order.
     """
     hosts = CrashTracker(), CrashTracker()
     for host in hosts:
@@ -224,12 +227,13 @@
 
 
 class CrashSimulation:
-    """Servers that end under one request, and now and then by themselves.
+    """Servers that crash under one request, and sometimes by themselves.
 
-    Each tick some requests are at each server. All that are at one that
-    ends are suspected, as if they had just begun; what is to run alone is
-    at a server without others like it. A request that meets an end comes
-    again, with the bad one among them, so the same few meet often.
+    Each tick some requests are at each server. All requests at a server that
+    crashes become suspects, as if they had just started; an isolated request
+    is sent to a server without other suspects. A request that is cut off by a
+    crash is retried, with the bad one among the others, so the same few
+    requests often meet.
     """
 
     def __init__(self, seed, count):
@@ -245,7 +249,7 @@
         self.served = 0
 
     def tick(self, number):
-        """Let one second pass."""
+        """Simulate one second."""
         self.now += 1.0
         self.crashes.block_causes(self.now)
         new = [f"good {number}-{one}" for one in range(2 * self.count)]
@@ -274,14 +278,14 @@
             self.sent_after_third += 1
 
     def has_suspect(self, here):
-        """Whether another that must run alone is among *here*."""
+        """Whether *here* contains another request that must run isolated."""
         return any(
             self.crashes.verdict(one, "c", self.now) is Verdict.ISOLATED
             for one in here
         )
 
     def run(self, server, here, crashes_itself):
-        """Run what is at a server; it may end."""
+        """Run the requests of a server, which may crash."""
         if "bad" not in here and not crashes_itself:
             self.served += len(here)
             for request in here:
@@ -300,10 +304,10 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_the_cause_is_found_and_nobody_else_is_refused(seed):
-    """Others are refused in place of the request that ends servers.
+    """Guards against refusing others in place of the cause.
 
-    Six requests are at each of four servers, one of them bad; one server
-    in fifty ends by itself each second.
+    Six requests are at each of four servers, one of them bad; one server in
+    fifty crashes by itself each second.
     """
     servers = CrashSimulation(seed, count=4)
     for number in range(40):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Which hosts live, and which of them places for the region."""
+"""Which hosts are alive, and which of them places for the region."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def members():
-    """Return the view of ``h1``, which hears two more of its region."""
+    """Return the list of ``h1``, which gets heartbeats of two hosts."""
     made = Members(make_member("h1"))
     for name in ("h2", "h3"):
         made.add(make_member(name))
@@ -39,7 +39,7 @@
 
 
 def view_of(name, all_names):
-    """Return the view of one host that hears all others."""
+    """Return the list of a host that receives heartbeats of all others."""
     made = Members(make_member(name))
     for other in all_names:
         made.add(make_member(other))
@@ -49,7 +49,7 @@
 
 
 def test_all_hosts_ask_the_same_host():
-    """Two hosts that place know only half of the work each."""
+    """Guards against two placing hosts that each see half of the load."""
     everyone = ("h1", "h2", "h3", "h4")
     first = {
         view_of(name, everyone).placers(10.1)[0].name for name in everyone
@@ -58,10 +58,10 @@
 
 
 def test_the_strongest_host_places():
-    """Requests wait for a host that a quarter of the others could place.
+    """Guards against a weak host that places for the region.
 
-    Hosts differ fourfold in what they can do; the one that places for all
-    must not be drawn among the weak ones.
+    Hosts differ fourfold in capacity. If the placing host is among the weak
+    ones, requests wait for it that a quarter of the others could place.
     """
     everyone = [f"h{number}" for number in range(20)]
     members = view_of("h0", everyone)
@@ -73,7 +73,7 @@
 
 
 def test_hosts_of_two_data_centres_are_reported_to():
-    """A region has no placing host after one data centre lost its power."""
+    """Guards against losing all placers with the power of a data centre."""
     members = Members(make_member("h0"))
     for number in range(6):
         place = "north-a" if number < 5 else "north-b"
@@ -91,7 +91,7 @@
 
 
 def test_a_host_that_leaves_or_lost_the_store_places_last(members):
-    """Requests go to a server that left, by a host that cannot know."""
+    """Guards against placing at a stopped server by a host with old data."""
     ranked = names(members.placers(10.1))
     first = ranked[0]
     target = members.own if first == "h1" else members.others[first]
@@ -103,7 +103,10 @@
 
 
 def test_a_host_that_has_just_started_places_last(members):
-    """A new host knows no work in progress and overfills the servers."""
+    """Guards against a new host that overfills servers.
+
+    It has not received what the other hosts have in progress.
+    """
     first = names(members.placers(10.1))[0]
     target = members.own if first == "h1" else members.others[first]
     target.up_seconds = 0.2
@@ -111,21 +114,21 @@
 
 
 def test_silent_hosts_are_neither_named_nor_asked(members):
-    """Callers are sent to a host that has lost its power."""
+    """Guards against sending callers to a host that lost power."""
     members.others["h2"].last_heartbeat_at = 20.0
     assert_that(sorted(names(members.live(20.1))), Equals(["h1", "h2"]))
     assert "h3" not in names(members.placers(20.1))
 
 
 def test_an_old_entry_does_not_replace_a_newer_start(members):
-    """A restarted host is forgotten, since its old entry is read late."""
+    """Guards against an old entry that is read late and hides a restart."""
     members.add(make_member("h2", incarnation=5, front="new"))
     members.add(make_member("h2", incarnation=1, front="old"))
     assert_that(members.others["h2"].front, Equals("new"))
 
 
 def test_addresses_of_removed_hosts_are_not_trusted(members):
-    """Another machine gets the address of a host that is gone."""
+    """Guards against trusting another machine at a removed host's address."""
     assert members.is_known("h2")
     assert not members.is_known("h9")
     members.remove_silent(100.0, 30.0)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -94,8 +94,8 @@
     )
     records = read_records(hosts.lines)
     cause = cause_of([one for one in records if one.request == "r1"], records)
-    assert_that(cause, Contains("plain-north leaves, said "))
-    assert_that(cause, Contains("h-north in the answer to first-h-north"))
+    assert_that(cause, Contains("plain-north is draining, announced "))
+    assert_that(cause, Contains("h-north in the response to first-h-north"))
 
 
 @pytest_twisted.ensureDeferred
@@ -118,5 +118,7 @@
     records = read_records(hosts.lines)
     mine = [one for one in records if one.request == refused]
     cause = cause_of(mine, records)
-    assert_that(cause, Contains("plain-north takes 0.5 a second, said "))
-    assert_that(cause, Contains("ago to h-north in the answer to r"))
+    assert_that(
+        cause, Contains("plain-north accepts 0.5 requests/s, announced ")
+    )
+    assert_that(cause, Contains("ago to h-north in the response to r"))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Backend servers as the registry names them."""
+"""Backend servers as the registry lists them."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
@@ -33,10 +33,10 @@
 
 
 def test_leaving_is_undone_only_by_a_new_start():
-    """A server that leaves gets a request again, and cuts it.
+    """Guards against a request to a draining server, which would cut it off.
 
-    An older entry of the server, read from a neighbour that lags, comes
-    after the one that said that it leaves.
+    An older entry of the server, read from another host's lagging copy,
+    arrives after the one that marked it as draining.
     """
     registry = Registry(REGIONS)
     registry.put(make_entry(leaving=True), 0.0)
@@ -45,10 +45,10 @@
 
 
 def test_a_server_that_starts_again_is_a_new_one():
-    """A server that is back is never used again, or too much at once.
+    """Guards against a restarted server that is never used, or overloaded.
 
-    It starts again under its identifier while its former start was
-    leaving. Then a neighbour's copy brings the former entry once more.
+    It restarts under its identifier while its former instance was draining.
+    Then another host's copy brings the former entry once more.
     """
     registry = Registry(REGIONS)
     registry.put(make_entry(born=1000, leaving=True, terminates_in=2.0), 0.0)
@@ -61,9 +61,9 @@
 
 
 def test_servers_that_lapsed_in_an_outage_are_used_until_they_are_back():
-    """All requests are refused when the store comes back after an outage.
+    """Guards against refusing all requests as the store returns.
 
-    Registrations lapse while it is away. The servers live and register
+    Registrations lapse during the outage. The servers are up and register
     again within two seconds; until then the registry is empty.
     """
     registry = Registry(REGIONS)
@@ -78,7 +78,10 @@
 
 
 def test_a_removed_server_is_not_used_without_an_outage():
-    """A server leaves without a word and its entry is removed."""
+    """Guards against using a server that left without a notice.
+
+    Its entry is removed without having been marked as draining.
+    """
     registry = Registry(REGIONS)
     registry.put(make_entry(), 0.0)
     registry.remove("s1", 1.0, outage=False)
@@ -86,7 +89,7 @@
 
 
 def test_a_server_counts_as_cold_a_little_longer_than_it_says():
-    """The entry is some time old when it arrives."""
+    """Guards against taking the cold time as exact: entries arrive late."""
     registry = Registry(REGIONS)
     registry.put(make_entry(cold_left=3.0), 10.0)
     assert_that(registry.usability("s1", 13.2), Is(Usability.COLD))
@@ -94,10 +97,10 @@
 
 
 def test_servers_of_a_returned_data_centre_are_cold():
-    """Servers crash as soon as their data centre is taken back.
+    """Guards against crashing servers as their data centre is used again.
 
-    They are cold at the end of an evacuation and their entries say so
-    with a lag, while all requests come back to them at once.
+    They are cold at the end of an evacuation and their entries show it only
+    with a delay, while all requests return to them at once.
     """
     registry = Registry(REGIONS)
     registry.put(make_entry(), 0.0)
@@ -109,7 +112,10 @@
 
 
 def test_a_server_is_gone_when_its_announced_time_is_over():
-    """A server that is taken away at short notice gets nothing more."""
+    """Guards against using a server after its announced termination.
+
+    Servers may be terminated at short notice.
+    """
     registry = Registry(REGIONS)
     registry.put(make_entry(leaving=True, terminates_in=2.0), 0.0)
     assert_that(registry.expire(1.9), Equals([]))
--- a/tests/test_retryafter.py
+++ b/tests/test_retryafter.py
@@ -1,4 +1,4 @@
-"""Servers that ask a host for rest."""
+"""Servers that request a pause from a host by Retry-After."""
 
 import random
 
@@ -22,14 +22,14 @@
 
 PAUSE_SECONDS = 3.0
 SLACK_SECONDS = 0.5
-"""Seconds after a request for rest in which more may still arrive."""
+"""Seconds after a pause is requested in which more requests may arrive."""
 
 MAX_ARRIVALS = 2
-"""Requests that may arrive in the rest of the time."""
+"""Number of requests that may arrive in the rest of the pause."""
 
 
 def most_in_pauses(backend):
-    """Return the most requests of one host within one rest."""
+    """Return the largest number of requests of one host within one pause."""
     found = [0]
     for peer in {address for _, address in backend.arrived}:
         times = [at for at, address in backend.arrived if address == peer]
@@ -50,7 +50,7 @@
 )
 @pytest_twisted.ensureDeferred
 async def test_a_retry_after_pause_is_respected(hosts, service, path, headers):
-    """A server that turns requests away is asked again and again."""
+    """Guards against sending again and again to a server that rejects."""
     backends = [hosts.backends[f"{service}-{r}"] for r in ("north", "south")]
     for backend in backends:
         backend.mood = "full"
@@ -62,7 +62,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_other_hosts_keep_using_a_paused_server(hosts):
-    """A whole region leaves a server alone that asked one host for rest."""
+    """Guards against applying one host's pause to its whole region."""
     north, _ = await hosts.with_resting_host()
     backend = hosts.backends["plain-north"]
     backend.mood, backend.told = "full", {b"retry-after": b"3"}
@@ -76,7 +76,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_callers_get_the_retry_after_of_the_first_pause_to_end(hosts):
-    """Callers are held, or come back while all servers still rest."""
+    """Guards against callers that wait, or retry while all servers pause."""
     for region, seconds in (("north", b"9"), ("south", b"7")):
         backend = hosts.backends[f"plain-{region}"]
         backend.mood, backend.told = "full", {b"retry-after": seconds}
@@ -85,31 +85,34 @@
     status, headers, _ = await hosts.send(
         "h-north", "/post/a", identifier="r9"
     )
-    told = float(headers.getRawHeaders(b"retry-after")[0])
+    retry_seconds = float(headers.getRawHeaders(b"retry-after")[0])
     assert_that(status, Equals(503))
-    assert_that(told, GreaterThan(8.0))
-    assert_that(told, LessThan(9.0 + SPREAD_SECONDS))
+    assert_that(retry_seconds, GreaterThan(8.0))
+    assert_that(retry_seconds, LessThan(9.0 + SPREAD_SECONDS))
     await hosts.until(
         lambda: any('"r9"' in one and "unknown" in one for one in hosts.lines)
     )
     records = read_records(hosts.lines)
     cause = cause_of([one for one in records if one.request == "r9"], records)
-    assert_that(cause, Contains("plain-north rests for"))
-    assert_that(cause, Contains("as it turned r0 away"))
+    assert_that(cause, Contains("plain-north is in its retry-after pause for"))
+    assert_that(cause, Contains("when it rejected r0"))
 
 
 @pytest_twisted.ensureDeferred
 async def test_a_caller_refused_by_all_servers_gets_retry_after(hosts):
-    """The first callers come back at once to servers that all rest."""
+    """Guards against retries at once by the first callers.
+
+    All servers pause by then.
+    """
     for region in ("north", "south"):
         backend = hosts.backends[f"plain-{region}"]
         backend.mood, backend.told = "full", {b"retry-after": b"9"}
     status, headers, _ = await hosts.send(
         "h-north", "/lookup/a", identifier="r1"
     )
-    told = float(headers.getRawHeaders(b"retry-after")[0])
+    retry_seconds = float(headers.getRawHeaders(b"retry-after")[0])
     assert_that(status, Equals(503))
-    assert_that(told, GreaterThan(8.0))
+    assert_that(retry_seconds, GreaterThan(8.0))
 
 
 @pytest.mark.parametrize(
@@ -124,7 +127,7 @@
     ],
 )
 def test_an_invalid_retry_after_is_ignored(values, read):
-    """A date in place of seconds closes a server, or fails the answer."""
+    """Guards against a date that blocks a server or fails the response."""
     headers = Headers({b"retry-after": list(values)})
     head = read_head(503, headers)
     assert_that((head.turned_away, head.retry_after), Equals((True, read)))
@@ -152,12 +155,12 @@
 
 @pytest.fixture
 def pauses(registry):
-    """Return the rests of a host."""
+    """Return the pauses of a host."""
     return RetryAfterPauses(registry, random.Random(1))
 
 
 def sent_from(pauses, since, until):
-    """Return what is sent if a request waits every 10 ms."""
+    """Return the number of requests sent, with one waiting every 10 ms."""
     sent = 0
     for hundredth in range(int(since * 100), int(until * 100)):
         if not pauses.is_blocked("s1", hundredth / 100):
@@ -167,7 +170,7 @@
 
 
 def test_load_ramps_up_after_a_pause(pauses):
-    """All that had waited comes in the moment in which a rest ends."""
+    """Guards against all waiting requests arriving as a pause ends."""
     pauses.record("s1", "r1", 3.0, 0.0)
     assert_that(sent_from(pauses, 0.0, 3.0), Equals(0))
     assert_that(sent_from(pauses, 3.0, 3.2), Equals(1))
@@ -176,28 +179,28 @@
 
 
 def test_the_length_of_a_pause_is_bounded(pauses):
-    """A faulty server is left alone for an hour."""
+    """Guards against a faulty server that requests a pause of an hour."""
     pauses.record("s1", "r1", 3600.0, 0.0)
     assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS - 1), Equals(True))
     assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS + 1), Equals(False))
 
 
 def test_the_longer_of_two_pauses_applies(pauses):
-    """A short rest that is asked for second ends a long one."""
+    """Guards against a second, shorter pause that ends a long one."""
     assert_that(pauses.record("s1", "r1", 5.0, 0.0), Equals(True))
     assert_that(pauses.record("s1", "r2", 1.0, 0.1), Equals(False))
     assert_that(pauses.is_blocked("s1", 4.0), Equals(True))
 
 
 def test_a_pause_ends_with_its_server_instance(pauses, registry):
-    """A fresh server gets nothing, as the one before asked for rest."""
+    """Guards against applying the pause of the former instance."""
     pauses.record("s1", "r1", 5.0, 0.0)
     registry.put(entry("s1", born=7), 1.0)
     assert_that(pauses.is_blocked("s1", 1.0), Equals(False))
 
 
 def test_the_first_pause_to_end_counts_only_if_all_servers_pause(pauses):
-    """Callers are told to wait for a rest though a server is open."""
+    """Guards against a retry time for a pause while a server is usable."""
     pauses.record("s1", "r1", 5.0, 0.0)
     assert_that(pauses.first_to_end(["s1", "s2"], 1.0), Equals(NOTHING))
     pauses.record("s2", "r2", 3.0, 0.0)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes, split routes and versions that never go back."""
+"""Routes, split routes and configuration versions that only increase."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, Is
@@ -28,7 +28,7 @@
 
 
 def test_the_longest_prefix_selects_the_route():
-    """A narrower route takes its paths from a wider one."""
+    """Guards against a wider route that takes the paths of a narrower one."""
     wide, narrow = make_route("/a/"), make_route("/a/b/")
     configuration = Configuration(version=1, routes=(wide, narrow))
     assert_that(configuration.find_route("a.example", "/a/b/c"), Is(narrow))
@@ -38,10 +38,10 @@
 
 
 def test_a_split_route_sends_each_request_to_one_service():
-    """All hosts that handle a request choose the same service.
+    """Guards against hosts that choose different services for a request.
 
-    A request that is forwarded would otherwise change its service on the
-    way, and run where its sender did not want it.
+    A forwarded request would otherwise change its service on the way, and run
+    at one that the sending host did not choose.
     """
     route = make_route("/a/", services=("old", "new"))
     chosen = [route.service_for(f"request-{n}") for n in range(400)]
@@ -51,10 +51,10 @@
 
 
 def test_a_version_never_goes_back():
-    """A caller sees the new version, and then an answer of the old one.
+    """Guards against a response of an old version after one of the new.
 
-    A read of the store that was slow ends after a newer one. It brings
-    the older version, which must not come into force again.
+    A slow read of the store ends after a newer one. It brings the older
+    version, which must not come into force again.
     """
     keeper = ConfigurationKeeper()
     assert keeper.offer(Configuration(version=7))
@@ -64,7 +64,7 @@
 
 
 def test_only_resumable_streams_may_run_again():
-    """A review that is streamed runs once; a quote may go on elsewhere."""
+    """Guards against running a review stream twice; a quote may resume."""
     stream = {"kind": RequestKind.STREAM}
     assert not make_route("/a/", **stream).repeatable
     assert make_route("/a/", resumable=True, **stream).repeatable
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -1,4 +1,4 @@
-"""Limits that servers name hold over all hosts."""
+"""Limits that servers announce apply to all hosts together."""
 
 import random
 
@@ -34,12 +34,12 @@
 
 
 def most_allowed(limit):
-    """Return the requests that a server may get in a window."""
+    """Return the largest number of requests allowed in a window."""
     return 1.5 * limit * WINDOW_SECONDS + 5
 
 
 def most_arrived(backend):
-    """Return the most requests that reached a server in a window."""
+    """Return the largest number of requests received in a window."""
     times = [at for at, _ in backend.arrived]
     return max(
         sum(begin <= at < begin + WINDOW_SECONDS for at in times)
@@ -54,7 +54,7 @@
 )
 @pytest_twisted.ensureDeferred
 async def test_all_hosts_together_keep_a_limit(hosts, service, path, headers):
-    """A server in need gets many times the requests that it can take."""
+    """Guards against sending an overloaded server many times its limit."""
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     limit = 1.5
@@ -79,7 +79,7 @@
     st.sampled_from((0.3, 1.0, 1.8, 6.0)),
 )
 def test_a_limit_holds_whatever_fails(faults, limit):
-    """Hosts that count beside each other send a server twice its limit."""
+    """Guards against doubling a limit while hosts count independently."""
     network = Network(6)
     hosts = list(network.hosts.values())
     network.run(4)
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("limit", [0.3, 1.5, 6.0])
 @pytest.mark.parametrize("hosts", [2, 3, 20])
 def test_what_servers_take_is_used(hosts, limit):
-    """A limit below one request a second for each host lets nothing pass."""
+    """Guards against blocking a server with less than 1 request/s per host."""
     network = Network(hosts)
     network.run(4)
     servers = LimitedServers(network, lambda r, n: 40.0, lambda now: limit)
@@ -115,7 +115,7 @@
 
 
 def test_hosts_that_start_together_keep_limits():
-    """After a power loss no host knows that servers are in need."""
+    """Guards against hosts that lack all limits after a power loss."""
     network = Network(6)
     network.run(4)
     limit = 1.5
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize("parts", [(0, 3), (0, 1, 2, 3, 4)])
 def test_both_parts_of_a_region_serve_within_its_limit(parts):
-    """A region that is cut in two gives a server twice what it takes."""
+    """Guards against doubling a limit while a region is partitioned."""
     network = Network(6)
     network.run(4)
     limit = 3.0
@@ -158,7 +158,7 @@
 
 
 def test_a_limit_that_has_ended_is_not_brought_back():
-    """A host that missed the end of a limit tells the others to keep it."""
+    """Guards against a host that missed a limit's end and restores it."""
     network = Network(6)
     network.run(4)
     ends_at = network.clock.seconds() + 4
@@ -180,7 +180,7 @@
 
 
 def make_limits(weight=1.0):
-    """Return limits of a host that counts for a part of its region."""
+    """Return limits of a host with a share of its region."""
     return ServerLimits(lambda: weight, random.Random(1))
 
 
@@ -192,7 +192,7 @@
 
 
 def passed(limits, since, until):
-    """Return how many requests pass, if one asks every 10 ms."""
+    """Return how many requests are sent, with one attempt every 10 ms."""
     count = 0
     for hundredth in range(int(since * 100), int(until * 100)):
         if limits.can_send("s1", hundredth / 100):
@@ -202,7 +202,7 @@
 
 
 def test_the_lowest_of_limits_named_in_turn_holds():
-    """A server that names 1 and 9 in turn gets 9 a second."""
+    """Guards against the higher limit of a server that alternates two."""
     limits = make_limits()
     count = 0
     for tenth in range(100):
@@ -214,7 +214,7 @@
 
 
 def test_an_older_answer_does_not_raise_a_limit():
-    """An answer that was late on its way ends a limit that still holds."""
+    """Guards against a delayed response that ends a limit in force."""
     limits = make_limits()
     limits.apply_notice(notice(1.0, 5.0), 5.0)
     limits.apply_notice(notice(UNLIMITED, 4.0), 6.0)
@@ -222,7 +222,7 @@
 
 
 def test_a_server_that_starts_again_has_no_limit():
-    """A fresh server is held to the limit of the one before."""
+    """Guards against applying the limit of the former instance."""
     limits = make_limits()
     limits.apply_notice(notice(1.0, 5.0), 5.0)
     limits.forget("s1")
@@ -231,7 +231,7 @@
 
 
 def test_a_server_that_takes_nothing_is_asked_now_and_then():
-    """Nobody hears that a server takes requests again."""
+    """Guards against missing that a server accepts requests again."""
     limits = make_limits()
     limits.apply_notice(notice(0.0, 0.0), 0.0)
     count = passed(limits, 0.0, 60.0)
@@ -240,7 +240,7 @@
 
 
 def test_refused_callers_come_back_one_after_the_other():
-    """All callers who are refused come back at the same moment."""
+    """Guards against refused callers that all retry at the same moment."""
     limits = make_limits()
     limits.apply_notice(notice(2.0, 0.0), 0.0)
     times = [
@@ -253,7 +253,7 @@
 
 
 def test_a_request_that_was_not_sent_is_not_counted():
-    """A placement that is not used lies idle in the limit of a server."""
+    """Guards against counting an unused placement against a limit."""
     limits = make_limits()
     limits.apply_notice(notice(1.0, 0.0), 0.0)
     assert_that(limits.can_send("s1", 1.0), Equals(True))
@@ -263,7 +263,7 @@
 
 
 def test_a_limit_may_arrive_before_the_entry_of_its_server():
-    """A host that hears late of a server sends more than it takes."""
+    """Guards against exceeding the limit of a server not yet listed."""
     network = Network(6)
     network.run(4)
     servers = LimitedServers(network, lambda r, n: 20.0, lambda now: 1.0)
@@ -277,9 +277,9 @@
 
 
 def test_servers_in_need_are_not_overrun_before_their_first_answer():
-    """After a start of all hosts a slow server gets what it cannot take.
+    """Guards against overloading a slow server after a start of all hosts.
 
-    Nobody knows of its limit until it has answered, 0.6 s later.
+    No host has its limit until the server has responded, 0.6 s later.
     """
     registry = Registry({"north-a": "north"})
     entry = ServerEntry(
