--- a/src/hyssopspring/traffic/crashes.py
+++ b/src/hyssopspring/traffic/crashes.py
@@ -99,11 +99,11 @@
         crashes: `ServerCrash` by server instance.
         blocked: Whether the request was found to be the cause.
         cleared_at: Time at which the request was last known to run without a
-        crash, or `NOTHING`. Crashes up to that time do not count.
+            crash, or `NOTHING`. Crashes up to that time do not count.
         shared_with_all: Whether every host needs the record, and not only the
-        hosts that collect first crashes. For a request that was affected by a
-        single crash, neither the crash nor a later success matters to the
-        other hosts.
+            hosts that collect first crashes. For a request that was affected
+            by a single crash, neither the crash nor a later success matters to
+            the other hosts.
     """
 
     fingerprint: str
@@ -147,7 +147,7 @@
         predicted: Predicted seconds until the start of the response.
         head_received: Whether the head of the response was received.
         response_age: Seconds since the first part of the response body
-        arrived, or `NOTHING`.
+            arrived, or `NOTHING`.
     """
     if response_age is not NOTHING:
         return response_age <= EARLY_RESPONSE_SECONDS
@@ -323,7 +323,7 @@
         Args:
             suspect: The `Suspect`.
             servers: The servers that crashed under it without a blocked
-            request.
+                request.
         """
         shared = Counter(
             one
--- a/src/hyssopspring/traffic/members.py
+++ b/src/hyssopspring/traffic/members.py
@@ -92,19 +92,19 @@
         leaving: Whether it is shutting down.
         last_heartbeat_at: Time of its last heartbeat, or `NOTHING`.
         reported_alive_at: Time of the last heartbeat that another host reports
-        from it, or `NOTHING`.
+            from it, or `NOTHING`.
         reporting_since: Time since which this host sends it heartbeats and
-        expects answers, or `NOTHING`.
+            expects answers, or `NOTHING`.
         reported_at: Time of its last heartbeat that subscribed to this host.
         subscription: Its `Subscription`.
         up_seconds: Seconds since its start.
         contact_age: Seconds since it received data from the registry.
         version: Version of the configuration that it has.
         revisions: Newest revisions that it has seen, of operators' data and of
-        the servers.
+            the servers.
         rank_key: Sort key among hosts of equal state; the lowest goes first.
-        The strongest host places, as many weak hosts together would often win
-        a random choice by weight.
+            The strongest host places, as many weak hosts together would often
+            win a random choice by weight.
         id: Short identifier of this incarnation, for small messages.
     """
 
@@ -151,7 +151,7 @@
         )
 
     def is_reporting(self, now):
-        """Whether it relies on this host for news of the others."""
+        """Whether it relies on this host for reports on the others."""
         if (
             self.reported_at is NOTHING
             or self.subscription is Subscription.NONE
@@ -198,7 +198,7 @@
         Args:
             member: The `Member`.
             announced_at: Time of the host's own message, or `NOTHING` if the
-            data comes from others.
+                data comes from others.
         """
         if member.name == self.own.name:
             return
--- a/src/hyssopspring/traffic/routes.py
+++ b/src/hyssopspring/traffic/routes.py
@@ -53,7 +53,7 @@
         kind: The `RequestKind`.
         timeout: Longest time to keep a request unanswered, in seconds.
         objective: Target time to the response, or to a stream's first event,
-        in seconds.
+            in seconds.
         priority: Rank among the routes of a service; 0 is the highest.
         services: `WeightedService` of each service it is split over.
         max_attempts: Largest number of servers that may run one request.
@@ -77,7 +77,7 @@
 
     @property
     def repeatable(self):
-        """Whether a request may be run a second time."""
+        """Whether running a request a second time is safe."""
         if self.kind is RequestKind.IDEMPOTENT:
             return True
         return self.kind is RequestKind.STREAM and self.resumable
@@ -113,9 +113,9 @@
     Attributes:
         slots: Number of requests that run concurrently.
         memory_tokens: Number of tokens that running requests and cached parts
-        of prompts share.
+            of prompts share.
         copy_seconds: Seconds in which a server copies one token that another
-        has cached; 0 if servers cannot copy.
+            has cached; 0 if servers cannot copy.
     """
 
     slots: int
@@ -131,7 +131,7 @@
         name: Its name.
         cold_seconds: How long a server stays cold after its start.
         cold_rate: Requests a second that a cold server tolerates; 0 if the
-        servers of the service are never cold.
+            servers of the service are never cold.
         engine: `EngineSpec` of a model service, or `NOTHING`.
     """
 
--- a/src/hyssopspring/traffic/serverlimits.py
+++ b/src/hyssopspring/traffic/serverlimits.py
@@ -140,7 +140,7 @@
 
     Args:
         weight: Called for the share of the region's hosts that rely on this
-        host for placement, from 0 to 1.
+            host for placement, from 0 to 1.
         rng: Random number generator.
     """
 
--- a/src/hyssopspring/traffic/servers.py
+++ b/src/hyssopspring/traffic/servers.py
@@ -46,7 +46,7 @@
         leaving: Whether it is draining before its shutdown.
         cold_left: Seconds for which it stays cold, counted from the entry.
         terminates_in: Seconds until it is terminated at the latest, or
-        `NOTHING`.
+            `NOTHING`.
     """
 
     id: str
@@ -90,9 +90,9 @@
         region: Region of its data centre.
         cold_until: Time until which it counts as cold.
         absent_since: Time since which the registry does not list it, or
-        `NOTHING`.
+            `NOTHING`.
         terminates_at: Time at which it is terminated at the latest, or
-        `NOTHING`.
+            `NOTHING`.
     """
 
     entry: ServerEntry
@@ -222,7 +222,7 @@
             data_centres: All data centres that are evacuated.
             now: The time.
             cold_seconds: Called with a service; returns for how long its
-            servers are cold after a start.
+                servers are cold after a start.
         """
         returned = self.evacuated - set(data_centres)
         self.evacuated = set(data_centres)
