--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -3,8 +3,8 @@
 from entry_slopes import best
 from twisted.web.http_headers import Headers
 
+from hyssopspring.entry.crashdetection import fingerprint_of
 from hyssopspring.entry.crashsharing import row_of
-from hyssopspring.entry.endings import fingerprint_of
 from hyssopspring.entry.messages import Suspects, encode_message
 from hyssopspring.traffic.crashes import Crashes, End, Suspect
 
--- a/src/hyssopspring/entry/admission.py
+++ b/src/hyssopspring/entry/admission.py
@@ -5,20 +5,20 @@
 from ..core.outcomes import Reason
 from ..core.sentinels import INVALID, NOTHING
 
-__all__ = ["Barred", "Rights", "rights_of"]
+__all__ = ["Denied", "Permissions", "authorize"]
 
 UNAUTHORIZED = 401
 BAD_REQUEST = 400
 UNAVAILABLE = 503
 
-UNVERIFIED_RETRY = 0.2
+UNVERIFIED_RETRY_SECONDS = 0.2
 """Seconds after which a caller may come back whose key could not be
 believed; other hosts can serve it, and this one within that time once it
 reaches another again."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Rights:
+class Permissions:
     """What a request may do.
 
     Attributes:
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class Denied:
     """The request ends before any attempt.
 
     Attributes:
@@ -51,40 +51,40 @@
     retry_after: object = NOTHING
 
 
-def rights_of(configuration, route, facts, *, confirmed=True):
-    """Return the `Rights` of a request, or why it is `Barred`.
+def authorize(configuration, route, metadata, *, confirmed=True):
+    """Return the `Permissions` of a request, or why it is `Denied`.
 
     Args:
         configuration: The `Configuration` in force.
         route: The `Route` that it asks for.
-        facts: Its `CallerFacts`.
+        metadata: Its `RequestMetadata`.
         confirmed: Whether the configuration is known to be the newest one
             as surely as keys demand.
     """
     if not configuration.needs_key(route):
-        return Rights(priority=route.priority, homes=route.homes)
+        return Permissions(priority=route.priority, homes=route.homes)
     if not confirmed:
-        return Barred(UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_RETRY)
-    workspace = configuration.workspace_of(facts.key_digest)
+        return Denied(UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_RETRY_SECONDS)
+    workspace = configuration.workspace_of(metadata.key_digest)
     if workspace is NOTHING:
-        return Barred(UNAUTHORIZED, Reason.UNKNOWN_WORKSPACE)
+        return Denied(UNAUTHORIZED, Reason.UNKNOWN_WORKSPACE)
     homes = route.homes or workspace.homes
     if route.homes and workspace.homes:
         homes = route.homes & workspace.homes
         if not homes:
-            return Barred(UNAVAILABLE, Reason.RESIDENCY)
-    cost = cost_of(workspace, facts)
+            return Denied(UNAVAILABLE, Reason.RESIDENCY)
+    cost = token_cost(workspace, metadata)
     if cost is INVALID:
-        return Barred(BAD_REQUEST, Reason.BAD_REQUEST)
+        return Denied(BAD_REQUEST, Reason.BAD_REQUEST)
     priority = workspace.priority
     if priority is NOTHING:
         priority = route.priority
-    return Rights(
+    return Permissions(
         workspace=workspace.name, priority=priority, homes=homes, cost=cost
     )
 
 
-def cost_of(workspace, facts):
+def token_cost(workspace, metadata):
     """Return the tokens that a request takes from its workspace's limit.
 
     One that states nonsense is refused: to count it as nothing, or as
@@ -92,6 +92,6 @@
     """
     if workspace.limit is NOTHING:
         return 0
-    if facts.tokens is INVALID and not workspace.limit.by_request:
+    if metadata.tokens is INVALID and not workspace.limit.by_request:
         return INVALID
-    return workspace.limit.count(facts.tokens)
+    return workspace.limit.count(metadata.tokens)
--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -15,27 +15,27 @@
 from ..traffic.evidence import Finding
 
 __all__ = [
-    "Answer",
+    "BufferedResponse",
     "Attempt",
-    "Head",
-    "Sending",
+    "ResponseHead",
+    "OutgoingRequest",
     "silence_limit",
     "split_events",
 ]
 
-LONGEST_ANSWER = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 """Bytes of the longest answer that is held whole in memory."""
 
-SILENT_SECONDS = 0.9
-SILENT_FACTOR = 3.0
+MIN_SILENCE_SECONDS = 0.9
+SILENCE_FACTOR = 3.0
 """A server that has not begun after three times the predicted time, and
 this many seconds at least, is taken as silent."""
 
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sending:
+class OutgoingRequest:
     """What an attempt sends.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class ResponseHead:
     """What the head of an answer says, decoded.
 
     Attributes:
@@ -81,44 +81,44 @@
 
     not_run: bool = False
     misdirected: bool = False
-    echo: object = NOTHING
-    stamped: bool = False
+    echoed_id: object = NOTHING
+    signed: bool = False
     retry_after: object = NOTHING
     server_id: str = ""
     reason: object = NOTHING
     limit: object = NOTHING
     leaving: object = False
-    turned_away: bool = False
+    rejected: bool = False
 
     @property
-    def is_of_server(self):
+    def is_from_server(self):
         """Whether the server that was asked has given the answer.
 
         Bytes that are no answer bear no signature, and what another server
         says under the same address does not concern the one that was asked.
         """
-        return (self.stamped or self.not_run) and not self.misdirected
+        return (self.signed or self.not_run) and not self.misdirected
 
 
 @dataclass(slots=True, eq=False)
-class Answer:
+class BufferedResponse:
     """A whole answer that was not passed on yet.
 
     Attributes:
         status: HTTP status.
         headers: Names and values to pass on.
         body: The body.
-        head: The `Head`.
+        head: The `ResponseHead`.
     """
 
     status: int
     headers: list
     body: bytes
-    head: Head = field(default_factory=Head)
+    head: ResponseHead = field(default_factory=ResponseHead)
 
 
 @implementer(IBodyProducer)
-class WholeBody:
+class BytesProducer:
     """A body that is written in one go, and knows whether it was."""
 
     def __init__(self, body):
@@ -147,66 +147,68 @@
 
     Args:
         connections: The `Connections`.
-        lane: `Lane` to the server or host.
-        sending: The `Sending`.
-        read_head: Called with status and `Headers`; returns the `Head`.
+        endpoint: `Endpoint` to the server or host.
+        outgoing: The `OutgoingRequest`.
+        read_head: Called with status and `Headers`; returns the
+            `ResponseHead`.
         clock: The runtime's clock.
-        opened: Called with the `Answer` without a body when a stream
+        on_stream: Called with the `BufferedResponse` without a body when a
+            stream
             begins; returns the function that takes its whole events.
-        started: Called when the head of an answer has come, or the first
+        on_first_data: Called when the head of an answer has come, or the first
             event of a stream.
-        heard: Called with the `Head` of an answer that the server itself
-            has given.
+        on_head: Called with the `ResponseHead` of an answer that the server
+            itself has given.
     """
 
     def __init__(
         self,
         connections,
-        lane,
-        sending,
+        endpoint,
+        outgoing,
         read_head,
         clock,
         *,
-        opened,
-        started,
-        heard=lambda head: None,
+        on_stream,
+        on_first_data,
+        on_head=lambda head: None,
     ):
         self.connections = connections
-        self.lane = lane
-        self.sending = sending
+        self.endpoint = endpoint
+        self.outgoing = outgoing
         self.read_head = read_head
         self.clock = clock
-        self.opened = opened
-        self.started = started
-        self.heard = heard
+        self.on_stream = on_stream
+        self.on_first_data = on_first_data
+        self.on_head = on_head
         self.connection = NOTHING
         self.sent = False
         self.answer = NOTHING
         self.finding = Finding.CANCELLED
         self.events = 0
-        self.first_seen = False
-        self.first_at = NOTHING
-        self.headed = False
+        self.first_data_received = False
+        self.first_data_at = NOTHING
+        self.head_received = False
         self.sent_at = 0.0
         self.ended_at = 0.0
         self.abandon_reason = NOTHING
         self.was_silent = False
         self.cause = ""
-        self.work = NOTHING
+        self.deferred = NOTHING
 
     def run(self):
         """Start the attempt; return a deferred of its outcome."""
-        self.work = defer.ensureDeferred(self.carry_out())
-        self.work.addErrback(self.failed)
-        return self.work
+        self.deferred = defer.ensureDeferred(self.carry_out())
+        self.deferred.addErrback(self.handle_failure)
+        return self.deferred
 
     @property
     def in_progress(self):
         """Whether it has begun and not ended, sent or not."""
-        return self.work is not NOTHING and not self.work.called
+        return self.deferred is not NOTHING and not self.deferred.called
 
     @property
-    def broke_off(self):
+    def broken_by_peer(self):
         """Whether the other side ended it before it was answered whole."""
         if not self.sent or self.abandon_reason is not NOTHING:
             return False
@@ -220,9 +222,9 @@
     @property
     def begun_for(self):
         """Seconds from the first of its answer to its end, or `NOTHING`."""
-        if self.first_at is NOTHING:
+        if self.first_data_at is NOTHING:
             return NOTHING
-        return self.ended_at - self.first_at
+        return self.ended_at - self.first_data_at
 
     def abandon(self, reason, *, silent=False):
         """Give the attempt up and close its connection.
@@ -233,36 +235,38 @@
             reason: The `Reason`.
             silent: Whether the server was silent for too long by then.
         """
-        if self.abandon_reason is not NOTHING or self.work is NOTHING:
+        if self.abandon_reason is not NOTHING or self.deferred is NOTHING:
             return
         self.abandon_reason = reason
         self.was_silent = silent
-        self.work.cancel()
+        self.deferred.cancel()
         if self.connection is not NOTHING:
             self.connection.transport.abortConnection()
 
     async def carry_out(self):
         """Send the request and take the answer."""
         self.connection = await self.connections.open(
-            self.lane, kept=self.sending.repeatable
+            self.endpoint, reuse=self.outgoing.repeatable
         )
         response = await self.request()
-        self.headed = True
+        self.head_received = True
         head = self.read_head(response.code, response.headers)
-        self.check_echo(head)
-        if head.is_of_server:
-            self.heard(head)
-        if self.sending.stream and response.code == 200:
-            return await self.take_stream(response, head)
-        return await self.take_whole(response, head)
+        self.check_echoed_id(head)
+        if head.is_from_server:
+            self.on_head(head)
+        if self.outgoing.stream and response.code == 200:
+            return await self.forward_stream(response, head)
+        return await self.receive_response(response, head)
 
     def request(self):
         """Write the request; return a deferred of the answer's head."""
-        body = WholeBody(self.sending.body) if self.sending.body else None
+        body = (
+            BytesProducer(self.outgoing.body) if self.outgoing.body else None
+        )
         request = ClientRequest(
-            self.sending.method,
-            self.sending.uri,
-            self.sending.headers,
+            self.outgoing.method,
+            self.outgoing.uri,
+            self.outgoing.headers,
             body,
             persistent=True,
         )
@@ -270,7 +274,7 @@
         self.sent_at = self.clock.seconds()
         return self.connection.request(request)
 
-    def check_echo(self, head):
+    def check_echoed_id(self, head):
         """Check that the answer is to this request.
 
         A server may send a second answer to an earlier request of the
@@ -280,21 +284,24 @@
         Raises:
             _WrongAnswer: It is someone else's.
         """
-        if head.echo is not NOTHING and head.echo != self.sending.id:
-            raise _WrongAnswer
+        if (
+            head.echoed_id is not NOTHING
+            and head.echoed_id != self.outgoing.id
+        ):
+            raise _InvalidResponse
 
-    def first(self):
+    def note_first_data(self):
         """Tell once that the answer has begun."""
-        if not self.first_seen:
-            self.first_seen = True
-            self.first_at = self.clock.seconds()
-            self.started()
+        if not self.first_data_received:
+            self.first_data_received = True
+            self.first_data_at = self.clock.seconds()
+            self.on_first_data()
 
-    async def take_whole(self, response, head):
+    async def receive_response(self, response, head):
         """Hold the whole answer and judge it."""
-        body = await self.read(response, Collector(LONGEST_ANSWER))
-        self.answer = Answer(
-            response.code, passed_headers(response), body, head
+        body = await self.read(response, BodyCollector(MAX_RESPONSE_BYTES))
+        self.answer = BufferedResponse(
+            response.code, forwarded_headers(response), body, head
         )
         if head.misdirected:
             self.finding = Finding.MISDIRECTED
@@ -302,9 +309,9 @@
         if head.not_run:
             self.finding = Finding.FULL
             return self.refusal(head)
-        if not head.stamped and response.code < 300:
-            raise _WrongAnswer
-        self.first()
+        if not head.signed and response.code < 300:
+            raise _InvalidResponse
+        self.note_first_data()
         self.finding = Finding.ANSWERED
         if response.code >= 500:
             self.finding = Finding.ERROR
@@ -322,19 +329,21 @@
             return NotRun(head.reason)
         return NotRun(head.reason, head.retry_after)
 
-    async def take_stream(self, response, head):
+    async def forward_stream(self, response, head):
         """Pass whole events on as they come."""
-        if not head.stamped:
-            raise _WrongAnswer
-        answer = Answer(response.code, passed_headers(response), b"", head)
-        write = self.opened(answer, response)
+        if not head.signed:
+            raise _InvalidResponse
+        answer = BufferedResponse(
+            response.code, forwarded_headers(response), b"", head
+        )
+        write = self.on_stream(answer, response)
 
-        def take(events):
-            self.first()
+        def on_events(events):
+            self.note_first_data()
             self.events += 1
             write(events)
 
-        await self.read(response, _EventReader(take))
+        await self.read(response, _EventReader(on_events))
         self.finding = Finding.ANSWERED
         return Answered(response.code)
 
@@ -349,16 +358,16 @@
         reason = reader.reason
         if reason.check(ResponseDone):
             return reader.body
-        if reason.check(PotentialDataLoss) and self.closed_in_order():
+        if reason.check(PotentialDataLoss) and self.closed_cleanly():
             return reader.body
-        raise _Truncated
+        raise _TruncatedResponse
 
-    def closed_in_order(self):
+    def closed_cleanly(self):
         """Whether the other side closed the connection, not reset it."""
         lost = self.connection.lost_reason
         return lost is not NOTHING and bool(lost.check(error.ConnectionDone))
 
-    def failed(self, failure):
+    def handle_failure(self, failure):
         """Return the outcome that a failure allows to claim."""
         self.cause = repr(failure.value)
         self.ended_at = self.clock.seconds()
@@ -368,31 +377,33 @@
             if self.was_silent:
                 self.finding = Finding.SILENT
                 # What silenced this connection may have silenced others.
-                self.connections.forget(self.lane.key, before=self.sent_at)
+                self.connections.close_idle(
+                    self.endpoint.key, before=self.sent_at
+                )
             outcome = Unknown if self.sent else NotRun
             return outcome(self.abandon_reason)
         if not self.sent:
             self.finding = Finding.UNREACHED
             return NotRun(Reason.CONNECT)
-        if failure.check(_WrongAnswer):
+        if failure.check(_InvalidResponse):
             self.finding = Finding.ERROR
             return Unknown(Reason.BAD_ANSWER)
-        if failure.check(_Truncated):
+        if failure.check(_TruncatedResponse):
             self.finding = Finding.ERROR
             return Unknown(Reason.TRUNCATED)
         self.finding = Finding.SILENT
         return Unknown(Reason.CONNECTION_LOST)
 
 
-class _WrongAnswer(Exception):  # noqa: N818 - never leaves this module
+class _InvalidResponse(Exception):  # noqa: N818 - never leaves this module
     """The answer is not one to this request."""
 
 
-class _Truncated(Exception):  # noqa: N818 - never leaves this module
+class _TruncatedResponse(Exception):  # noqa: N818 - never leaves this module
     """The answer ended before its end."""
 
 
-class Collector(protocol.Protocol):
+class BodyCollector(protocol.Protocol):
     """Collect a body of limited length."""
 
     def __init__(self, limit):
@@ -424,23 +435,23 @@
         """Do nothing; whoever cancels closes the connection."""
 
 
-class _EventReader(Collector):
+class _EventReader(BodyCollector):
     """Pass on whole events of a stream.
 
     Only whole events go on, so that a stream that another server goes on
     with neither repeats nor loses the event in which the first broke.
     """
 
-    def __init__(self, take):
-        super().__init__(LONGEST_ANSWER)
-        self.take = take
+    def __init__(self, on_events):
+        super().__init__(MAX_RESPONSE_BYTES)
+        self.on_events = on_events
         self.buffer = b""
 
     def dataReceived(self, data):
         """Pass on what is whole."""
         events, self.buffer = split_events(self.buffer + data)
         if events:
-            self.take(events)
+            self.on_events(events)
 
 
 def silence_limit(predicted):
@@ -449,20 +460,20 @@
     Args:
         predicted: Seconds in which it was to begin.
     """
-    return max(SILENT_SECONDS, SILENT_FACTOR * predicted)
+    return max(MIN_SILENCE_SECONDS, SILENCE_FACTOR * predicted)
 
 
 def split_events(data):
     """Return the whole events at the start of *data*, and the rest."""
     cut = 0
-    for end in EVENT_ENDS:
-        found = data.rfind(end)
+    for terminator in EVENT_TERMINATORS:
+        found = data.rfind(terminator)
         if found >= 0:
-            cut = max(cut, found + len(end))
+            cut = max(cut, found + len(terminator))
     return data[:cut], data[cut:]
 
 
-def passed_headers(response):
+def forwarded_headers(response):
     """Return the headers of an answer that go to the caller."""
     return [
         (name, value)
--- a/src/hyssopspring/entry/connections.py
+++ b/src/hyssopspring/entry/connections.py
@@ -10,29 +10,29 @@
 from ..core.addresses import split_address
 from ..core.sentinels import NOTHING
 
-__all__ = ["Connections", "Connection", "set_liveness"]
+__all__ = ["Connections", "Connection", "enable_keepalive"]
 
-CONNECT_TIMEOUT = 0.35
+CONNECT_TIMEOUT_SECONDS = 0.35
 """Seconds to open a connection within a region; a round trip takes less
 than 10 ms there, so one lost packet would already exceed it."""
 
-FAR_CONNECT_TIMEOUT = 0.8
+CROSS_REGION_CONNECT_TIMEOUT_SECONDS = 0.8
 """Seconds to open a connection to another region, 160 ms away."""
 
-REUSE_MARGIN = 0.6
+REUSE_MARGIN_SECONDS = 0.6
 """Seconds before the announced end of an idle connection from which on it
 is not used, as its close may be on its way."""
 
-UNANNOUNCED_IDLE = 0.0
+UNANNOUNCED_IDLE_SECONDS = 0.0
 """Seconds for which a connection is kept that announced no idle time."""
 
-MOST_IDLE = 24
+MAX_IDLE_CONNECTIONS = 24
 """Idle connections kept to one address; the newest are used first."""
 
-PROBE_AFTER = 1
-PROBE_EVERY = 1
-PROBES = 2
-UNACKNOWLEDGED_MS = 1500
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
+USER_TIMEOUT_MS = 1500
 """A peer that is cut off without a word shows after 1.5 s of unanswered
 bytes, or about 3 s of silence, instead of minutes."""
 
@@ -48,12 +48,12 @@
         super().__init__(quiescent)
         self.lost_reason = NOTHING
         self.idle_since = 0.0
-        self.idle_limit = UNANNOUNCED_IDLE
+        self.idle_limit = UNANNOUNCED_IDLE_SECONDS
         self.expiry = NOTHING
 
     def connectionMade(self):
         """Make a silent death of the other side show."""
-        set_liveness(self.transport)
+        enable_keepalive(self.transport)
         super().connectionMade()
 
     def connectionLost(self, reason):
@@ -65,32 +65,32 @@
         """Return the idle time that the answer's head announced."""
         parser = self._parser
         if parser is None:
-            return UNANNOUNCED_IDLE
+            return UNANNOUNCED_IDLE_SECONDS
         values = parser.connHeaders.getRawHeaders(b"keep-alive", ())
         for value in values:
             for item in value.split(b","):
                 name, _, number = item.strip().partition(b"=")
                 if name.lower() == b"timeout" and number.isdigit():
                     return float(number)
-        return UNANNOUNCED_IDLE
+        return UNANNOUNCED_IDLE_SECONDS
 
 
-def set_liveness(transport):
+def enable_keepalive(transport):
     """Make the system probe the other side of a connection."""
     handle = transport.getHandle()
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for level, option, value in options:
         handle.setsockopt(level, option, value)
 
 
 @dataclass(frozen=True, slots=True)
-class Lane:
+class Endpoint:
     """Which kept connections may carry a request.
 
     Attributes:
@@ -103,40 +103,40 @@
 
     key: str
     address: str
-    far: bool = False
-    kept_for: object = NOTHING
+    cross_region: bool = False
+    keep_alive_seconds: object = NOTHING
 
 
-class _Connecting(protocol.ClientFactory):
+class _ConnectionFactory(protocol.ClientFactory):
     """Open one connection."""
 
     noisy = False
 
-    def __init__(self, made, quiescent):
-        self.made = made
+    def __init__(self, connected, quiescent):
+        self.connected = connected
         self.quiescent = quiescent
 
     def buildProtocol(self, addr):
         """Return the connection once it is open."""
         connection = Connection(self.quiescent)
         connection.factory = self
-        made, self.made = self.made, NOTHING
+        connected, self.connected = self.connected, NOTHING
         # The transport is attached when this function has returned.
-        if made is not NOTHING:
+        if connected is not NOTHING:
             original = connection.connectionMade
 
             def opened():
                 original()
-                made.callback(connection)
+                connected.callback(connection)
 
             connection.connectionMade = opened
         return connection
 
     def clientConnectionFailed(self, connector, reason):
         """Tell that it could not be opened."""
-        made, self.made = self.made, NOTHING
-        if made is not NOTHING:
-            made.errback(reason)
+        connected, self.connected = self.connected, NOTHING
+        if connected is not NOTHING:
+            connected.errback(reason)
 
 
 class Connections:
@@ -155,27 +155,27 @@
         self.opened = 0
         self.unopened = 0
 
-    def open(self, lane, *, kept):
+    def open(self, endpoint, *, reuse):
         """Return a deferred of a `Connection`.
 
         Args:
-            lane: The `Lane`.
-            kept: Whether a kept connection may be used. A server may have
+            endpoint: The `Endpoint`.
+            reuse: Whether a kept connection may be used. A server may have
                 closed it a moment ago; a request that must not run twice
                 would then end with an unknown outcome.
         """
-        if kept:
-            connection = self.take_idle(lane)
+        if reuse:
+            connection = self.take_idle(endpoint)
             if connection is not NOTHING:
                 return defer.succeed(connection)
-        return self.connect(lane)
+        return self.connect(endpoint)
 
-    def take_idle(self, lane):
+    def take_idle(self, endpoint):
         """Return the newest idle connection that is sound, or NOTHING."""
-        waiting = self.idle.get(lane.key, [])
+        idle = self.idle.get(endpoint.key, [])
         now = self.reactor.seconds()
-        while waiting:
-            connection = waiting.pop()
+        while idle:
+            connection = idle.pop()
             self.cancel_expiry(connection)
             if connection.state != "QUIESCENT":
                 continue
@@ -186,75 +186,82 @@
 
     def count(self, key):
         """Return how many sound idle connections lead to *key*."""
-        waiting = self.idle.get(key, ())
-        return sum(one.state == "QUIESCENT" for one in waiting)
+        idle = self.idle.get(key, ())
+        return sum(one.state == "QUIESCENT" for one in idle)
 
-    def prepare(self, lane):
+    def preconnect(self, endpoint):
         """Open a connection for a later request."""
-        made = self.connect(lane)
-        made.addCallbacks(
-            lambda connection: self.keep(lane, connection), self.not_opened
+        connected = self.connect(endpoint)
+        connected.addCallbacks(
+            lambda connection: self.keep(endpoint, connection),
+            self.count_unopened,
         )
 
-    def not_opened(self, failure):
+    def count_unopened(self, failure):
         """Count a connection that was not needed yet and did not open.
 
         Whoever needs one opens it again, and meets the failure itself.
         """
         self.unopened += 1
 
-    def connect(self, lane):
+    def connect(self, endpoint):
         """Open a new connection."""
         self.opened += 1
-        made = defer.Deferred(lambda _: connector.disconnect())
-        factory = _Connecting(made, lambda one: self.keep(lane, one))
-        ip, port = split_address(lane.address)
-        timeout = FAR_CONNECT_TIMEOUT if lane.far else CONNECT_TIMEOUT
+        connected = defer.Deferred(lambda _: connector.disconnect())
+        factory = _ConnectionFactory(
+            connected, lambda one: self.keep(endpoint, one)
+        )
+        ip, port = split_address(endpoint.address)
+        timeout = (
+            CROSS_REGION_CONNECT_TIMEOUT_SECONDS
+            if endpoint.cross_region
+            else CONNECT_TIMEOUT_SECONDS
+        )
         connector = self.reactor.connectTCP(
             ip, port, factory, timeout, bindAddress=(self.source, 0)
         )
-        return made
+        return connected
 
-    def is_refused(self, lane):
-        """Return a deferred that says whether nobody listens at *lane*.
+    def is_refused(self, endpoint):
+        """Return a deferred that says whether nobody listens at *endpoint*.
 
         A connection that can be opened is kept like any other.
         """
-        made = self.connect(lane)
+        connected = self.connect(endpoint)
 
         def opened(connection):
-            self.keep(lane, connection)
+            self.keep(endpoint, connection)
             return False
 
         def failed(failure):
             return bool(failure.check(error.ConnectionRefusedError))
 
-        return made.addCallbacks(opened, failed)
+        return connected.addCallbacks(opened, failed)
 
-    def keep(self, lane, connection):
+    def keep(self, endpoint, connection):
         """Keep a connection whose answer has come whole."""
-        limit = lane.kept_for
+        limit = endpoint.keep_alive_seconds
         if limit is NOTHING:
             limit = connection.announced_idle()
-        limit -= REUSE_MARGIN
-        waiting = self.idle.setdefault(lane.key, [])
-        if limit <= 0 or len(waiting) >= MOST_IDLE:
+        limit -= REUSE_MARGIN_SECONDS
+        idle = self.idle.setdefault(endpoint.key, [])
+        if limit <= 0 or len(idle) >= MAX_IDLE_CONNECTIONS:
             connection.transport.loseConnection()
             return
         connection.idle_since = self.reactor.seconds()
         connection.idle_limit = limit
         connection.expiry = self.reactor.callLater(
-            limit, self.expire, lane.key, connection
+            limit, self.expire, endpoint.key, connection
         )
-        waiting.append(connection)
+        idle.append(connection)
 
     def expire(self, key, connection):
         """Close a connection that has idled for too long."""
         connection.expiry = NOTHING
-        waiting = self.idle.get(key, [])
-        if connection in waiting:
-            waiting.remove(connection)
-        if not waiting:
+        idle = self.idle.get(key, [])
+        if connection in idle:
+            idle.remove(connection)
+        if not idle:
             self.idle.pop(key, None)
         connection.transport.loseConnection()
 
@@ -264,18 +271,18 @@
             connection.expiry.cancel()
             connection.expiry = NOTHING
 
-    def forget(self, key, *, before=math.inf):
+    def close_idle(self, key, *, before=math.inf):
         """Close idle connections to a server or host.
 
         Args:
             key: Whom they lead to.
             before: Time; those that were used since are kept.
         """
-        waiting = self.idle.pop(key, [])
-        kept = [one for one in waiting if one.idle_since > before]
+        idle = self.idle.pop(key, [])
+        kept = [one for one in idle if one.idle_since > before]
         if kept:
             self.idle[key] = kept
-        for connection in waiting:
+        for connection in idle:
             if connection not in kept:
                 self.cancel_expiry(connection)
                 connection.transport.loseConnection()
@@ -283,4 +290,4 @@
     def close(self):
         """Close all idle connections."""
         for key in list(self.idle):
-            self.forget(key)
+            self.close_idle(key)
--- a/src/hyssopspring/entry/copies.py
+++ b/src/hyssopspring/entry/copies.py
@@ -10,7 +10,7 @@
 from ..core.exceptions import NoAnswerError
 from ..core.sentinels import NOTHING
 from ..stores.keyvalues import Entry
-from .connections import Lane
+from .connections import Endpoint
 from .fetching import fetch
 from .hostentries import MEMBERS_PREFIX, encode_host
 from .messages import RemovedItem, StoreChange, StoredItem
@@ -269,11 +269,11 @@
 
         The hosts that it knows are learned at once.
         """
-        lane = Lane(f"state {address}", address, True, PEER_IDLE)
+        endpoint = Endpoint(f"state {address}", address, True, PEER_IDLE)
         try:
             status, data = await fetch(
                 self.state.connections,
-                lane,
+                endpoint,
                 b"GET",
                 b"/state",
                 address.encode(),
@@ -288,7 +288,7 @@
             self.state.timeline.note(
                 EventKind.PEER_UNREAD, peer=address, why=problem
             )
-            self.state.connections.forget(lane.key)
+            self.state.connections.close_idle(endpoint.key)
             return NOTHING
         for row in snapshot.hosts:
             self.host_wrote(Entry(row.key, row.value, row.revision))
--- a/src/hyssopspring/entry/suspicion.py
+++ b/src/hyssopspring/entry/crashchecks.py
@@ -3,24 +3,24 @@
 from ..core.outcomes import Reason
 from ..core.sentinels import NOTHING
 from ..traffic.crashes import Verdict
-from .endings import fingerprint_of
+from .crashdetection import fingerprint_of
 
-__all__ = ["HELD_RETRY_AFTER", "REFUSING_REASONS", "Suspicion"]
+__all__ = ["SUSPECTED_RETRY_SECONDS", "REFUSING_REASONS", "CrashCheck"]
 
-HELD_RETRY_AFTER = 0.5
+SUSPECTED_RETRY_SECONDS = 0.5
 """Seconds after which a request may come back of which it is not decided
 yet whether servers end under it; word of all that ended is there by then."""
 
-REFUSED_VERDICTS = {
+VERDICT_REASONS = {
     Verdict.HELD: Reason.SUSPECTED,
     Verdict.BLOCKED: Reason.CRASHES_SERVERS,
 }
 
-REFUSING_REASONS = frozenset(REFUSED_VERDICTS.values())
+REFUSING_REASONS = frozenset(VERDICT_REASONS.values())
 """Reasons for which a request goes to no server of any region."""
 
 
-class Suspicion:
+class CrashCheck:
     """Say whether a request may go to servers.
 
     Its fingerprint is worked out only where some request is suspected, so
@@ -39,21 +39,21 @@
         self.request = request
         self.caller = caller
         self.key_digest = key_digest
-        self.known_fingerprint = ""
+        self.cached_fingerprint = ""
 
     @property
     def fingerprint(self):
         """What repeats of the request have in common."""
-        if not self.known_fingerprint:
+        if not self.cached_fingerprint:
             self.request.content.seek(0)
-            self.known_fingerprint = fingerprint_of(
+            self.cached_fingerprint = fingerprint_of(
                 self.request.method,
                 self.request.requestHeaders,
                 self.request.uri,
                 self.request.content.read(),
                 self.key_digest,
             )
-        return self.known_fingerprint
+        return self.cached_fingerprint
 
     def verdict(self):
         """Return the `Verdict` of this moment."""
@@ -66,7 +66,7 @@
 
     def refusal(self):
         """Return the `Reason` to refuse it, or `NOTHING`."""
-        return REFUSED_VERDICTS.get(self.verdict(), NOTHING)
+        return VERDICT_REASONS.get(self.verdict(), NOTHING)
 
     def apart(self):
         """Return the fingerprint if it must run apart, or ""."""
--- a/src/hyssopspring/entry/endings.py
+++ b/src/hyssopspring/entry/crashdetection.py
@@ -11,21 +11,21 @@
 from ..traffic.servers import Usability
 
 __all__ = [
-    "WAIT",
-    "Endings",
+    "MAX_PROBE_WAIT_SECONDS",
+    "CrashDetector",
     "fingerprint_of",
 ]
 
-PROBE_KEPT = 1.0
+PROBE_RESULT_SECONDS = 1.0
 """Seconds for which it holds that a server has ended: all that was there
 ends at the same moment, and each of it asks. A server needs longer to start
 again."""
 
-WAIT = 0.05
+MAX_PROBE_WAIT_SECONDS = 0.05
 """Seconds for which a request waits to know whether its server has ended; a
 connection within the region opens or is refused in 2 ms."""
 
-NAMING_HEADERS = (b"authorization", b"cookie")
+IDENTITY_HEADERS = (b"authorization", b"cookie")
 """Headers by which a caller names itself, beside its key."""
 
 
@@ -46,12 +46,12 @@
             the request is sent on to, as the key itself is not.
     """
     host = first_value(headers, b"host").lower()
-    named = [first_value(headers, name) for name in NAMING_HEADERS]
+    identities = [first_value(headers, name) for name in IDENTITY_HEADERS]
     key = key_digest.encode()
-    return digest_of((method, host, uri, body, *named, key))
+    return digest_of((method, host, uri, body, *identities, key))
 
 
-class Endings:
+class CrashDetector:
     """Look at servers that break off.
 
     Args:
@@ -68,9 +68,9 @@
         self.registry = registry
         self.clock = clock
         self.timeline = timeline
-        self.ended = set()
+        self.crashed = set()
 
-    async def has_ended(self, lane):
+    async def has_crashed(self, endpoint):
         """Whether the process of a server is gone without notice.
 
         Its address refuses connections then. A server that breaks off an
@@ -79,23 +79,26 @@
         to be taken away, ends for that reason.
         """
         now = self.clock.seconds()
-        if self.registry.usability(lane.key, now) is Usability.LEAVING:
+        if self.registry.usability(endpoint.key, now) is Usability.LEAVING:
             return False
-        if lane.key in self.ended:
+        if endpoint.key in self.crashed:
             return True
         # That it lived a moment ago says nothing: a busy server resets
         # connections, and may end right after.
-        refused = await self.connections.is_refused(lane)
-        if refused and lane.key not in self.ended:
-            self.ended.add(lane.key)
-            self.clock.callLater(PROBE_KEPT, self.ended.discard, lane.key)
+        refused = await self.connections.is_refused(endpoint)
+        if refused and endpoint.key not in self.crashed:
+            self.crashed.add(endpoint.key)
+            self.clock.callLater(
+                PROBE_RESULT_SECONDS, self.crashed.discard, endpoint.key
+            )
         return refused
 
     def examine(self, attempt, caller, predicted, *, sent_by=""):
         """Note whether a server ended under a request, or ran it well.
 
         Returns:
-            A deferred that fires when that is known, or `WAIT` after: a
+            A deferred that fires when that is known, or after
+            `MAX_PROBE_WAIT_SECONDS`: a
             server without power refuses nothing, and what ended with it
             is not to wait for that.
 
@@ -106,58 +109,60 @@
             sent_by: IP address of the host that had sent the request on,
                 or an empty string.
         """
-        if not attempt.broke_off:
-            self.note_run(attempt, caller)
+        if not attempt.broken_by_peer:
+            self.record_run(attempt, caller)
             return defer.succeed(None)
-        work = self.look(attempt, caller, predicted, sent_by)
-        looking = defer.ensureDeferred(work)
-        looking.addErrback(self.failed)
+        work = self.probe(attempt, caller, predicted, sent_by)
+        probing = defer.ensureDeferred(work)
+        probing.addErrback(self.log_error)
         done = defer.Deferred()
-        timer = self.clock.callLater(WAIT, done.callback, None)
+        timer = self.clock.callLater(
+            MAX_PROBE_WAIT_SECONDS, done.callback, None
+        )
 
-        def looked(_):
+        def on_probed(_):
             if timer.active():
                 timer.cancel()
                 done.callback(None)
 
-        looking.addCallback(looked)
+        probing.addCallback(on_probed)
         return done
 
-    async def look(self, attempt, caller, predicted, sent_by):
+    async def probe(self, attempt, caller, predicted, sent_by):
         """Find out whether a server that broke off has ended."""
-        if await self.has_ended(attempt.lane):
-            self.note_ended(attempt, caller, predicted, sent_by)
+        if await self.has_crashed(attempt.endpoint):
+            self.record_crash(attempt, caller, predicted, sent_by)
         else:
-            self.note_run(attempt, caller)
+            self.record_run(attempt, caller)
 
-    def failed(self, failure):
+    def log_error(self, failure):
         """Write an unexpected error to the log."""
         self.timeline.note(EventKind.UNEXPECTED, error=failure.getTraceback())
 
-    def note_run(self, attempt, caller):
+    def record_run(self, attempt, caller):
         """Note that a request ran well, if it is known at all."""
-        if self.sharing.knows_any() and ran_well(attempt):
-            self.sharing.ran_well(fingerprint_at(attempt), caller)
+        if self.sharing.knows_any() and shows_success(attempt):
+            self.sharing.ran_well(attempt_fingerprint(attempt), caller)
 
-    def note_ended(self, attempt, caller, predicted, sent_by):
+    def record_crash(self, attempt, caller, predicted, sent_by):
         """Note that a server ended under a request."""
-        sending = attempt.sending
-        lane = attempt.lane
-        fingerprint = fingerprint_at(attempt)
+        outgoing = attempt.outgoing
+        endpoint = attempt.endpoint
+        fingerprint = attempt_fingerprint(attempt)
         early = is_early(
             ran_for=attempt.ran_for,
             predicted=predicted,
-            headed=attempt.headed,
+            headed=attempt.head_received,
             begun_for=attempt.begun_for,
         )
         self.timeline.note(
             EventKind.SERVER_ENDED,
-            request=sending.id.decode("latin-1"),
-            server=lane.key,
+            request=outgoing.id.decode("latin-1"),
+            server=endpoint.key,
             fingerprint=fingerprint,
             caller=caller,
-            path=sending.uri.decode("latin-1"),
-            body=digest_of((sending.body,))[:8],
+            path=outgoing.uri.decode("latin-1"),
+            body=digest_of((outgoing.body,))[:8],
             ran_ms=int(attempt.ran_for * 1000),
             events=attempt.events,
             early=early,
@@ -166,26 +171,26 @@
             self.sharing.server_ended(
                 fingerprint,
                 caller,
-                self.registry.start_of(lane.key),
+                self.registry.start_of(endpoint.key),
                 sent_by,
             )
         elif attempt.begun_for is not NOTHING:
             self.sharing.ran_well(fingerprint, caller)
 
 
-def fingerprint_at(attempt):
+def attempt_fingerprint(attempt):
     """Return the fingerprint of the request of an `Attempt`."""
-    sending = attempt.sending
+    outgoing = attempt.outgoing
     return fingerprint_of(
-        sending.method,
-        sending.headers,
-        sending.uri,
-        sending.body,
-        sending.key_digest,
+        outgoing.method,
+        outgoing.headers,
+        outgoing.uri,
+        outgoing.body,
+        outgoing.key_digest,
     )
 
 
-def ran_well(attempt):
+def shows_success(attempt):
     """Whether an attempt shows that its server could run the request."""
     if attempt.finding is Finding.ANSWERED:
         return True
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -174,7 +174,7 @@
     def compare(self, member, digest):
         """Tell a host all if it knows something else."""
         own = self.crashes.digest
-        if not self.comparison.must_tell(member.name, own, digest):
+        if not self.comparison.must_send(member.name, own, digest):
             return
         known = self.crashes.told_to_all()
         if known:
--- a/src/hyssopspring/entry/digests.py
+++ b/src/hyssopspring/entry/digests.py
@@ -4,7 +4,7 @@
 
 __all__ = ["DigestComparison", "millis"]
 
-TELL_AGAIN = 1.0
+RESEND_SECONDS = 1.0
 """Seconds before a host is told all again that still knows something else:
 the word on its way needs less."""
 
@@ -18,9 +18,9 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.told = {}
+        self.sent_at = {}
 
-    def must_tell(self, name, own, other):
+    def must_send(self, name, own, other):
         """Whether to tell a host now; call it once a heartbeat.
 
         Args:
@@ -29,13 +29,13 @@
             other: Digest of what the other knows.
         """
         if own == other:
-            self.told.pop(name, None)
+            self.sent_at.pop(name, None)
             return False
         now = self.clock.seconds()
-        since = self.told.get(name, NOTHING)
-        if since is not NOTHING and now - since < TELL_AGAIN:
+        since = self.sent_at.get(name, NOTHING)
+        if since is not NOTHING and now - since < RESEND_SECONDS:
             return False
-        self.told[name] = now
+        self.sent_at[name] = now
         return True
 
 
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -10,47 +10,47 @@
 from ..net.sinks import AnswerSink
 from ..traffic.decisions import Ask, Away, Limited, Placed
 from ..traffic.evidence import Finding
-from .attempts import Attempt, Sending, silence_limit
-from .connections import Lane
+from .attempts import Attempt, OutgoingRequest, silence_limit
+from .connections import Endpoint
+from .crashchecks import REFUSING_REASONS, SUSPECTED_RETRY_SECONDS, CrashCheck
 from .notices import notice_details
 from .relaying import (
-    ORDER_HEADER,
-    RelayOrder,
-    encode_order,
+    RELAY_HEADER,
+    RelayParameters,
+    encode_parameters,
     read_relay_head,
 )
-from .suspicion import HELD_RETRY_AFTER, REFUSING_REASONS, Suspicion
 from .web import respond_refusal
 
 __all__ = ["Exchange"]
 
-MOST_TRIES = 5
+MAX_TRIES = 5
 """Placements of one request, those included that never reached a server;
 more would only follow a failing region round."""
 
-STREAM_PATIENCE = 2.0
+STREAM_PATIENCE_SECONDS = 2.0
 STREAM_PATIENCE_OBJECTIVES = 4.0
 """Callers give a stream up after a gap of two seconds or four times its
 objective; a later first event reaches nobody."""
 
-PATIENCE_SHARE = 0.85
+PATIENCE_FRACTION = 0.85
 """Part of that time within which a first event must be predicted."""
 
-SILENT_GAP = 1.0
+STREAM_SILENCE_SECONDS = 1.0
 """Seconds without an event of a running stream after which another server
 goes on with it, if it may be resumed. Engines pause for under 0.3 s."""
 
-LEAST_TIME = 0.03
+MIN_ATTEMPT_SECONDS = 0.03
 """Seconds before a request's end in which no new attempt is begun."""
 
-CONNECT_RETRY_AFTER = 0.4
+CONNECT_RETRY_SECONDS = 0.4
 """Seconds after which to come back when no server could be reached; a
 registry or a connection is current again by then."""
 
 FINAL_REASONS = (Reason.DEADLINE, Reason.CALLER_GONE)
 """Reasons after which no other attempt is of use."""
 
-EVENT_ID = b"id:"
+EVENT_ID_FIELD = b"id:"
 
 
 class Exchange:
@@ -60,30 +60,30 @@
         state: The `EntryState`.
         request: The `WebRequest`.
         route: Its `Route`.
-        facts: Its `CallerFacts`.
-        rights: Its `Rights`.
-        ended: Called with this exchange at its end.
+        metadata: Its `RequestMetadata`.
+        permissions: Its `Permissions`.
+        on_end: Called with this exchange at its end.
         arrived: Time at which the request came.
     """
 
     def __init__(
-        self, state, request, route, facts, rights, ended, *, arrived
+        self, state, request, route, metadata, permissions, on_end, *, arrived
     ):
         self.state = state
         self.request = request
         self.route = route
-        self.facts = facts
-        self.rights = rights
-        self.ended = ended
-        self.id = facts.id.decode("latin-1")
+        self.metadata = metadata
+        self.permissions = permissions
+        self.on_end = on_end
+        self.id = metadata.id.decode("latin-1")
         self.service = route.service_for(self.id)
         self.configuration = state.provenance.details()
         self.sink = AnswerSink(request)
         self.arrived = arrived
         allowed = route.timeout
-        if facts.deadline is not NOTHING:
-            allowed = min(allowed, facts.deadline)
-        self.give_up_at = self.arrived + allowed
+        if metadata.deadline is not NOTHING:
+            allowed = min(allowed, metadata.deadline)
+        self.deadline_at = self.arrived + allowed
         self.attempt = NOTHING
         self.attempt_began = 0.0
         self.last_data = 0.0
@@ -91,32 +91,32 @@
         self.predicted = 0.0
         self.excluded = []
         self.tried_hosts = set()
-        self.arrivals = 0
-        self.runs = 0
+        self.sent_attempts = 0
+        self.executions = 0
         self.tries = 0
         self.may_leave = True
         self.avoided = []
-        self.refused = False
-        self.retry_paid = False
-        self.moving = False
-        self.placement = NOTHING
-        self.kept = NOTHING
-        self.suspicion = Suspicion(
-            state.sharing, request, request.peer_ip, facts.key_digest
+        self.refused_by_placement = False
+        self.retry_spent = False
+        self.switching = False
+        self.next_placement = NOTHING
+        self.fallback_response = NOTHING
+        self.crash_check = CrashCheck(
+            state.sharing, request, request.peer_ip, metadata.key_digest
         )
-        self.last_event = facts.last_event
+        self.last_event = metadata.last_event
         self.last_event_at = NOTHING
-        self.first_at = NOTHING
-        self.over = False
+        self.first_data_at = NOTHING
+        self.closed = False
 
     def start(self):
         """Begin; the answer ends it."""
         gone = self.request.notifyFinish()
-        gone.addErrback(self.caller_gone)
+        gone.addErrback(self.handle_disconnect)
         work = defer.ensureDeferred(self.run())
-        work.addErrback(self.crashed)
+        work.addErrback(self.handle_error)
 
-    def crashed(self, failure):
+    def handle_error(self, failure):
         """Write an unexpected error to the log, and cut the answer."""
         self.state.timeline.note(
             EventKind.UNEXPECTED,
@@ -129,11 +129,11 @@
 
     def close(self):
         """Note the end once."""
-        if not self.over:
-            self.over = True
-            self.ended(self)
+        if not self.closed:
+            self.closed = True
+            self.on_end(self)
 
-    def caller_gone(self, reason):
+    def handle_disconnect(self, reason):
         """Stop all work for a caller that has gone.
 
         A caller that left a silent server is evidence against the server:
@@ -149,7 +149,7 @@
     @property
     def time_left(self):
         """Seconds until the request is given up."""
-        return self.give_up_at - self.state.clock.seconds()
+        return self.deadline_at - self.state.clock.seconds()
 
     async def run(self):
         """Try until there is a final outcome, and deliver it."""
@@ -158,7 +158,7 @@
         outcome = NOTHING
         while True:
             outcome = await self.next_try()
-            if self.sink.gone or not self.goes_on(outcome):
+            if self.sink.gone or not self.should_retry(outcome):
                 break
         self.conclude(outcome)
         self.close()
@@ -166,14 +166,14 @@
     async def next_try(self):
         """Place the request, make an attempt, return its outcome."""
         self.tries += 1
-        refusal = self.refused_for_crashes()
+        refusal = self.crash_refusal()
         if refusal is not NOTHING:
             return refusal
-        number, decision = await self.placed()
-        if self.sink.gone or self.time_left < LEAST_TIME:
+        number, decision = await self.get_placement()
+        if self.sink.gone or self.time_left < MIN_ATTEMPT_SECONDS:
             self.state.asking.note_end(number, Finding.UNUSED)
-            return NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER)
-        refusal = self.refused_for_crashes()
+            return NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
+        refusal = self.crash_refusal()
         if refusal is not NOTHING:
             self.state.asking.note_end(number, Finding.UNUSED)
             return refusal
@@ -184,41 +184,41 @@
             ran = not isinstance(outcome, NotRun)
             self.state.asking.note_away_end(number, ran=ran)
             return outcome
-        self.refused = True
+        self.refused_by_placement = True
         if isinstance(decision, Limited):
-            self.note_limit(decision)
+            self.log_rate_limit(decision)
             return NotRun(Reason.RATE_LIMIT, decision.retry_after)
-        self.note_refusal(decision)
+        self.log_refusal(decision)
         return NotRun(Reason.OVERLOADED, decision.retry_after)
 
-    def refused_for_crashes(self):
+    def crash_refusal(self):
         """Return a `NotRun` if servers end under this request, or `NOTHING`.
 
         It would end one more, and all that runs there.
         """
-        reason = self.suspicion.refusal()
+        reason = self.crash_check.refusal()
         if reason is NOTHING:
             return NOTHING
-        self.refused = True
+        self.refused_by_placement = True
         self.state.timeline.note(
             EventKind.NOT_RUN,
             request=self.id,
             reason=reason,
             route=self.route.name,
-            fingerprint=self.suspicion.fingerprint,
-            evidence=self.suspicion.evidence(),
+            fingerprint=self.crash_check.fingerprint,
+            evidence=self.crash_check.evidence(),
             **self.state.provenance.details(),
         )
-        return NotRun(reason, HELD_RETRY_AFTER)
+        return NotRun(reason, SUSPECTED_RETRY_SECONDS)
 
-    async def placed(self):
+    async def get_placement(self):
         """Return the number and the decision for the next attempt."""
-        if self.placement is NOTHING:
+        if self.next_placement is NOTHING:
             return await self.state.asking.place(self.ask())
-        placement, self.placement = self.placement, NOTHING
+        placement, self.next_placement = self.next_placement, NOTHING
         return placement
 
-    def note_refusal(self, refused):
+    def log_refusal(self, refused):
         """Put a refusal and its grounds on the time line."""
         self.state.timeline.note(
             EventKind.NOT_RUN,
@@ -229,12 +229,12 @@
             retry_after=round(refused.retry_after, 3),
             servers_open=refused.servers,
             excluded=len(self.excluded),
-            apart=self.suspicion.apart(),
+            apart=self.crash_check.apart(),
             **notice_details(refused),
             **self.state.provenance.details(),
         )
 
-    def note_limit(self, limited):
+    def log_rate_limit(self, limited):
         """Put a refusal by a limit and its grounds on the time line."""
         self.state.timeline.note(
             EventKind.NOT_RUN,
@@ -242,8 +242,8 @@
             reason=Reason.RATE_LIMIT,
             route=self.route.name,
             retry_after=round(limited.retry_after, 3),
-            workspace=self.rights.workspace,
-            cost=self.rights.cost,
+            workspace=self.permissions.workspace,
+            cost=self.permissions.cost,
             counted_by=limited.host,
             units=limited.units,
             left=limited.level,
@@ -258,18 +258,18 @@
             host="",
             number=0,
             service=self.service,
-            demand=replace(self.facts.demand, answer_within=self.time_left),
+            demand=replace(self.metadata.demand, answer_within=self.time_left),
             time_left=self.objective_left(waited),
             patience=self.patience(waited),
-            priority=self.rights.priority,
+            priority=self.permissions.priority,
             excluded=tuple(self.excluded),
-            regions=self.rights.homes,
+            regions=self.permissions.homes,
             avoided=tuple(self.avoided),
             may_leave=self.may_leave,
             begun=self.sink.started,
-            apart=self.suspicion.apart(),
-            workspace=self.rights.workspace,
-            cost=self.rights.cost,
+            apart=self.crash_check.apart(),
+            workspace=self.permissions.workspace,
+            cost=self.permissions.cost,
         )
 
     def patience(self, waited):
@@ -283,9 +283,10 @@
         if self.sink.started:
             waited = self.state.clock.seconds() - self.last_data
         longest = max(
-            STREAM_PATIENCE, STREAM_PATIENCE_OBJECTIVES * self.route.objective
+            STREAM_PATIENCE_SECONDS,
+            STREAM_PATIENCE_OBJECTIVES * self.route.objective,
         )
-        left = longest * PATIENCE_SHARE - waited
+        left = longest * PATIENCE_FRACTION - waited
         return max(0.0, min(self.time_left, left))
 
     def objective_left(self, waited):
@@ -317,20 +318,20 @@
             urgency=self.urgency(placed),
             last_event=self.last_event,
             copy_from=placed.copy_from,
-            workspace=self.rights.workspace,
+            workspace=self.permissions.workspace,
         )
         began = self.state.clock.seconds()
         self.attempt = Attempt(
             self.state.connections,
-            Lane(placed.server_id, placed.address),
-            self.sending(headers),
+            Endpoint(placed.server_id, placed.address),
+            self.outgoing(headers),
             self.state.codec.read_head,
             self.state.clock,
-            opened=self.open_stream,
-            started=lambda: self.started(number, began),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            on_stream=self.open_stream,
+            on_first_data=lambda: self.record_start(number, began),
+            on_head=self.state.notices.listener(placed.server_id, self.id),
         )
-        outcome = await self.carry(placed.predicted)
+        outcome = await self.run_attempt(placed.predicted)
         self.state.asking.note_end(number, self.attempt.finding)
         await self.state.endings.examine(
             self.attempt, self.request.peer_ip, placed.predicted
@@ -338,18 +339,18 @@
         if not isinstance(outcome, Answered) or outcome.status >= 500:
             self.excluded.append(placed.server_id)
         if self.attempt.finding is Finding.UNREACHED:
-            self.state.connections.forget(placed.server_id)
+            self.state.connections.close_idle(placed.server_id)
         return outcome
 
     def urgency(self, placed):
         """Return the urgency for an engine, or `NOTHING`."""
-        return placed.urgency if self.facts.demand.tokens_in else NOTHING
+        return placed.urgency if self.metadata.demand.tokens_in else NOTHING
 
-    def started(self, number, began):
+    def record_start(self, number, began):
         """Note when the answer began."""
         now = self.state.clock.seconds()
-        if self.first_at is NOTHING:
-            self.first_at = now
+        if self.first_data_at is NOTHING:
+            self.first_data_at = now
         self.state.asking.note_start(number, now - began)
 
     async def try_region(self, away):
@@ -364,7 +365,7 @@
         member = far.choose(away.region, self.tried_hosts)
         if member is NOTHING:
             self.avoid_region(away.region)
-            return NotRun(Reason.CONNECT, CONNECT_RETRY_AFTER)
+            return NotRun(Reason.CONNECT, CONNECT_RETRY_SECONDS)
         self.tried_hosts.add(member.name)
         self.state.timeline.note(
             EventKind.SENT_AWAY,
@@ -374,26 +375,28 @@
             predicted=round(away.predicted, 3),
         )
         headers = self.state.codec.passed_on(self.request.requestHeaders)
-        headers.setRawHeaders(ORDER_HEADER, [encode_order(self.order())])
+        headers.setRawHeaders(
+            RELAY_HEADER, [encode_parameters(self.relay_parameters())]
+        )
         self.attempt = Attempt(
             self.state.connections,
-            far.lane(member),
-            self.sending(headers, kept=True),
+            far.endpoint(member),
+            self.outgoing(headers, reuse=True),
             lambda status, found: read_relay_head(
                 self.state.codec, status, found
             ),
             self.state.clock,
-            opened=self.open_stream,
-            started=self.relay_started,
+            on_stream=self.open_stream,
+            on_first_data=self.relay_started,
         )
-        outcome = await self.carry(away.predicted)
+        outcome = await self.run_attempt(away.predicted)
         answer = self.attempt.answer
         if answer is not NOTHING and answer.head.server_id:
             self.excluded.append(answer.head.server_id)
         if isinstance(outcome, NotRun):
             self.avoid_region(away.region)
         if self.attempt.finding is Finding.UNREACHED:
-            self.state.connections.forget(member.name)
+            self.state.connections.close_idle(member.name)
         return outcome
 
     def avoid_region(self, region):
@@ -403,13 +406,13 @@
 
     def relay_started(self):
         """Note when an answer from another region began."""
-        if self.first_at is NOTHING:
-            self.first_at = self.state.clock.seconds()
+        if self.first_data_at is NOTHING:
+            self.first_data_at = self.state.clock.seconds()
 
-    def order(self):
-        """Return the `RelayOrder` of this moment."""
+    def relay_parameters(self):
+        """Return the `RelayParameters` of this moment."""
         ask = self.ask()
-        return RelayOrder(
+        return RelayParameters(
             self.route.name,
             self.service,
             self.route.stream,
@@ -417,44 +420,44 @@
             round(self.time_left, 4),
             round(ask.time_left, 4),
             round(ask.patience, 4),
-            self.rights.priority,
+            self.permissions.priority,
             list(self.excluded),
             self.last_event.decode("latin-1"),
             self.sink.started,
             self.request.peer_ip,
-            self.rights.workspace,
-            self.facts.key_digest,
+            self.permissions.workspace,
+            self.metadata.key_digest,
         )
 
-    def sending(self, headers, *, kept=False):
-        """Return the `Sending` of an attempt."""
+    def outgoing(self, headers, *, reuse=False):
+        """Return the `OutgoingRequest` of an attempt."""
         self.request.content.seek(0)
-        return Sending(
-            id=self.facts.id,
+        return OutgoingRequest(
+            id=self.metadata.id,
             method=self.request.method,
             uri=self.request.uri,
             headers=headers,
             body=self.request.content.read(),
             stream=self.route.stream,
-            repeatable=kept or self.route.repeatable,
-            key_digest=self.facts.key_digest,
+            repeatable=reuse or self.route.repeatable,
+            key_digest=self.metadata.key_digest,
         )
 
-    async def carry(self, predicted):
+    async def run_attempt(self, predicted):
         """Run the attempt and count what it did."""
         self.predicted = predicted
         self.attempt_began = self.state.clock.seconds()
         self.last_data = self.attempt_began
         outcome = await self.attempt.run()
         if self.attempt.sent:
-            self.arrivals += 1
+            self.sent_attempts += 1
         if not isinstance(outcome, NotRun):
-            self.runs += 1
+            self.executions += 1
         if not isinstance(outcome, Answered):
             self.state.timeline.note(
                 EventKind.ATTEMPT_ENDED,
                 request=self.id,
-                at=self.attempt.lane.key,
+                at=self.attempt.endpoint.key,
                 outcome=type(outcome).__name__,
                 reason=outcome.reason,
                 events=self.attempt.events,
@@ -470,9 +473,9 @@
         if not self.sink.started:
             self.sink.start(answer.status, answer.headers)
         self.sink.pausing(response._transport)
-        return self.take_events
+        return self.forward_events
 
-    def take_events(self, events):
+    def forward_events(self, events):
         """Pass events on and remember the last one's identifier."""
         now = self.state.clock.seconds()
         if self.last_event_at is not NOTHING:
@@ -484,41 +487,44 @@
             self.last_event = found
         self.sink.write(events)
 
-    def goes_on(self, outcome):
+    def should_retry(self, outcome):
         """Whether another attempt is to follow *outcome*."""
-        if self.final(outcome) or self.tries >= MOST_TRIES:
+        if self.is_final(outcome) or self.tries >= MAX_TRIES:
             return False
-        if self.time_left < LEAST_TIME * 2:
+        if self.time_left < MIN_ATTEMPT_SECONDS * 2:
             return False
-        if self.suspicion.refusal() is not NOTHING:
+        if self.crash_check.refusal() is not NOTHING:
             return False
-        if self.arrivals == 0 or self.retry_paid:
-            self.retry_paid = False
+        if self.sent_attempts == 0 or self.retry_spent:
+            self.retry_spent = False
             return True
-        return self.pay_retry()
+        return self.spend_retry()
 
-    def final(self, outcome):
+    def is_final(self, outcome):
         """Whether nothing better than *outcome* can follow."""
         if isinstance(outcome, Answered):
-            if outcome.status < 500 or not self.may_run_again():
+            if outcome.status < 500 or not self.may_retry():
                 return True
-            self.kept = self.attempt.answer
+            self.fallback_response = self.attempt.answer
             return False
         if outcome.reason in REFUSING_REASONS:
             return True
         if isinstance(outcome, NotRun):
-            return self.refused
+            return self.refused_by_placement
         if outcome.reason in FINAL_REASONS:
             return True
-        return not self.may_run_again()
+        return not self.may_retry()
 
-    def may_run_again(self):
+    def may_retry(self):
         """Whether the request may run at one more server."""
-        if not self.route.repeatable or self.runs >= self.route.max_attempts:
+        if (
+            not self.route.repeatable
+            or self.executions >= self.route.max_attempts
+        ):
             return False
         return not self.sink.started or self.route.resumable
 
-    def pay_retry(self):
+    def spend_retry(self):
         """Take a repeat from the budget; return whether there was one."""
         now = self.state.clock.seconds()
         hosts = len(self.state.members.live(now))
@@ -526,28 +532,28 @@
 
     def check(self, now):
         """Give up what has run out of time, or a server that is silent."""
-        if self.over:
+        if self.closed:
             return
-        if now >= self.give_up_at:
+        if now >= self.deadline_at:
             self.expire()
             return
         if self.attempt is NOTHING or self.attempt.abandon_reason:
             return
-        if self.suspicion.refusal() is Reason.CRASHES_SERVERS:
+        if self.crash_check.refusal() is Reason.CRASHES_SERVERS:
             self.attempt.abandon(Reason.CRASHES_SERVERS)
             return
-        if not self.route.repeatable or self.retry_paid:
+        if not self.route.repeatable or self.retry_spent:
             return
-        with_this = self.runs + 1
-        if with_this >= self.route.max_attempts or self.moving:
+        executions_with_this = self.executions + 1
+        if executions_with_this >= self.route.max_attempts or self.switching:
             return
-        if now - self.last_data > self.silence_limit() and self.pay_retry():
-            self.retry_paid = True
-            self.moving = True
-            work = defer.ensureDeferred(self.move(self.attempt))
-            work.addErrback(self.crashed)
+        if now - self.last_data > self.silence_limit() and self.spend_retry():
+            self.retry_spent = True
+            self.switching = True
+            work = defer.ensureDeferred(self.switch_server(self.attempt))
+            work.addErrback(self.handle_error)
 
-    async def move(self, silent):
+    async def switch_server(self, silent):
         """Go on elsewhere in place of a silent attempt.
 
         Another place is found first: a server that is only slow would
@@ -556,16 +562,18 @@
         Args:
             silent: The `Attempt`.
         """
-        seen = self.last_data
-        key = silent.lane.key
+        last_data_seen = self.last_data
+        key = silent.endpoint.key
         ask = self.ask()
         ask = replace(ask, excluded=(*ask.excluded, key))
         number, decision = await self.state.asking.place(ask)
-        self.moving = False
+        self.switching = False
         found = isinstance(decision, Placed | Away)
-        silent_still = self.attempt is silent and self.last_data == seen
-        if found and silent_still and not self.over:
-            self.placement = (number, decision)
+        still_silent = (
+            self.attempt is silent and self.last_data == last_data_seen
+        )
+        if found and still_silent and not self.closed:
+            self.next_placement = (number, decision)
             silent.abandon(Reason.CONNECTION_LOST, silent=True)
         else:
             self.state.asking.note_end(number, Finding.UNUSED)
@@ -573,7 +581,7 @@
     def silence_limit(self):
         """Return the seconds after which a server counts as silent."""
         if self.attempt.events:
-            return SILENT_GAP
+            return STREAM_SILENCE_SECONDS
         return silence_limit(self.predicted)
 
     def expire(self):
@@ -583,33 +591,35 @@
             attempt.abandon(Reason.DEADLINE)
             return
         if not self.sink.started and not self.sink.finished:
-            self.fail(NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER))
+            self.respond_failure(
+                NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
+            )
             self.close()
 
     def conclude(self, outcome):
         """Deliver the final outcome."""
         if self.sink.finished or self.sink.gone:
-            self.note_end("gone")
+            self.log_end("gone")
             return
         if isinstance(outcome, Answered):
             self.deliver(outcome)
             return
         if self.sink.started:
-            self.note_end(f"cut: {outcome.reason}")
+            self.log_end(f"cut: {outcome.reason}")
             self.sink.abort()
             return
-        if self.kept is not NOTHING:
-            self.deliver_whole(self.kept)
+        if self.fallback_response is not NOTHING:
+            self.deliver_whole(self.fallback_response)
             return
-        self.fail(outcome)
+        self.respond_failure(outcome)
 
     def deliver(self, outcome):
         """End a stream, or send a whole answer."""
         if self.sink.started and self.attempt.answer is NOTHING:
             self.sink.finish()
-            self.note_end("answered", outcome.status)
+            self.log_end("answered", outcome.status)
         elif self.sink.started:
-            self.note_end("cut: the server that went on failed")
+            self.log_end("cut: the server that went on failed")
             self.sink.abort()
         else:
             self.deliver_whole(self.attempt.answer)
@@ -617,12 +627,14 @@
     def deliver_whole(self, answer):
         """Send a whole answer of a server."""
         self.sink.whole(answer.status, answer.headers, answer.body)
-        self.note_end("answered", answer.status)
+        self.log_end("answered", answer.status)
 
-    def note_end(self, how, status=0):
+    def log_end(self, how, status=0):
         """Put the end of the request on the time line."""
         now = self.state.clock.seconds()
-        first = self.first_at if self.first_at is not NOTHING else now
+        first = (
+            self.first_data_at if self.first_data_at is not NOTHING else now
+        )
         self.state.timeline.note(
             EventKind.ANSWERED if status else EventKind.UNKNOWN,
             request=self.id,
@@ -639,9 +651,9 @@
             **self.configuration,
         )
 
-    def fail(self, outcome):
+    def respond_failure(self, outcome):
         """Tell the caller that there is no answer, at once."""
-        if isinstance(outcome, NotRun) and self.runs == 0:
+        if isinstance(outcome, NotRun) and self.executions == 0:
             retry_after = outcome.retry_after
             if outcome.reason is Reason.REFUSED:
                 retry_after = self.state.asking.refused_retry_after(
@@ -658,13 +670,13 @@
             status = 504 if outcome.reason is Reason.DEADLINE else 502
             respond_refusal(self.request, status, str(outcome.reason))
         self.sink.finished = True
-        self.note_end(f"{type(outcome).__name__}: {outcome.reason}")
+        self.log_end(f"{type(outcome).__name__}: {outcome.reason}")
 
 
 def last_event_id(events):
     """Return the identifier of the last event that has one, or b""."""
-    start = events.rfind(b"\n" + EVENT_ID) + 1
-    if not events.startswith(EVENT_ID, start):
+    start = events.rfind(b"\n" + EVENT_ID_FIELD) + 1
+    if not events.startswith(EVENT_ID_FIELD, start):
         return b""
     end = events.find(b"\n", start)
-    return events[start + len(EVENT_ID) : end].strip()
+    return events[start + len(EVENT_ID_FIELD) : end].strip()
--- a/src/hyssopspring/entry/farhosts.py
+++ b/src/hyssopspring/entry/farhosts.py
@@ -1,7 +1,7 @@
 """Hosts of other regions, and connections that are ready to them."""
 
 from ..core.sentinels import NOTHING
-from .connections import Lane
+from .connections import Endpoint
 
 __all__ = ["FarHosts"]
 
@@ -59,7 +59,7 @@
         chosen = self.draw(ready or hosts)
         idle = sum(self.connections.count(one.name) for one in ready)
         if idle <= SPARE_CONNECTIONS:
-            self.connections.prepare(self.lane(self.draw(hosts)))
+            self.connections.preconnect(self.endpoint(self.draw(hosts)))
         return chosen
 
     def draw(self, hosts):
@@ -67,6 +67,6 @@
         weights = [member.capacity for member in hosts]
         return self.rng.choices(hosts, weights)[0]
 
-    def lane(self, member):
-        """Return the `Lane` to a host of another region."""
-        return Lane(member.name, member.relay, True, PEER_IDLE)
+    def endpoint(self, member):
+        """Return the `Endpoint` to a host of another region."""
+        return Endpoint(member.name, member.relay, True, PEER_IDLE)
--- a/src/hyssopspring/entry/fetching.py
+++ b/src/hyssopspring/entry/fetching.py
@@ -6,19 +6,21 @@
 from twisted.web.http_headers import Headers
 
 from ..core.exceptions import NoAnswerError
-from .attempts import Collector, WholeBody
+from .attempts import BodyCollector, BytesProducer
 
 __all__ = ["fetch"]
 
 LONGEST_ANSWER = 8 * 1024 * 1024
 
 
-async def fetch(connections, lane, method, uri, host, body, *, timeout, clock):
+async def fetch(
+    connections, endpoint, method, uri, host, body, *, timeout, clock
+):
     """Send one call and return status and body of the answer.
 
     Args:
         connections: The `Connections`.
-        lane: The `Lane`.
+        endpoint: The `Endpoint`.
         method: HTTP method.
         uri: Path and query.
         host: Value of the Host header.
@@ -30,7 +32,7 @@
         NoAnswerError: No whole answer came in time.
         CancelledError: The caller has cancelled it.
     """
-    call = _Call(connections, lane, method, uri, host, body)
+    call = _Call(connections, endpoint, method, uri, host, body)
     work = defer.ensureDeferred(call.run())
     work.addTimeout(timeout, clock)
     try:
@@ -46,9 +48,9 @@
 class _Call:
     """One call in progress."""
 
-    def __init__(self, connections, lane, method, uri, host, body):
+    def __init__(self, connections, endpoint, method, uri, host, body):
         self.connections = connections
-        self.lane = lane
+        self.endpoint = endpoint
         self.method = method
         self.uri = uri
         self.host = host
@@ -57,18 +59,20 @@
 
     async def run(self):
         """Send the call and read the whole answer."""
-        self.connection = await self.connections.open(self.lane, kept=True)
+        self.connection = await self.connections.open(
+            self.endpoint, reuse=True
+        )
         headers = Headers({b"host": [self.host]})
         producer = None
         if self.body:
             headers.setRawHeaders(b"content-type", [b"application/json"])
-            producer = WholeBody(self.body)
+            producer = BytesProducer(self.body)
         response = await self.connection.request(
             ClientRequest(
                 self.method, self.uri, headers, producer, persistent=True
             )
         )
-        reader = Collector(LONGEST_ANSWER)
+        reader = BodyCollector(LONGEST_ANSWER)
         response.deliverBody(reader)
         await reader.done
         if not reader.reason.check(ResponseDone):
--- a/src/hyssopspring/entry/following.py
+++ b/src/hyssopspring/entry/following.py
@@ -357,7 +357,7 @@
         fresh = self.state.registry.put(server, now)
         if fresh and known is not None:
             self.state.asking.placer.forget_server(server.id, now)
-            self.state.connections.forget(server.id)
+            self.state.connections.close_idle(server.id)
         if fresh:
             self.note_server(EventKind.SERVER_ADDED, server)
         if server.leaving and not was_leaving:
@@ -377,7 +377,7 @@
         server_id = self.layout.server_id(key)
         now = self.state.clock.seconds()
         self.state.registry.remove(server_id, now, outage=False)
-        self.state.connections.forget(server_id)
+        self.state.connections.close_idle(server_id)
 
     def note_server(self, kind, server):
         """Put a change of a server on the time line."""
@@ -399,7 +399,7 @@
             EventKind.SERVER_GONE, server=server_id, outage=outage
         )
         if server_id not in self.state.registry.servers:
-            self.state.connections.forget(server_id)
+            self.state.connections.close_idle(server_id)
 
     def host_wrote(self, entry):
         """Take over the entry of a host."""
@@ -451,7 +451,7 @@
         self.check_watches(now)
         for server_id in self.state.registry.expire(now):
             self.state.timeline.note(EventKind.SERVER_GONE, server=server_id)
-            self.state.connections.forget(server_id)
+            self.state.connections.close_idle(server_id)
         if self.must_renew(now):
             self.renewing = True
             self.renewed_at = now
--- a/src/hyssopspring/entry/holding.py
+++ b/src/hyssopspring/entry/holding.py
@@ -3,14 +3,14 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["Held", "HoldingQueue"]
+__all__ = ["QueuedRequest", "HoldingQueue"]
 
-MOST_HELD = 200
+MAX_QUEUED_REQUESTS = 200
 """Requests that wait at once; the second's worth of a busy host."""
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class QueuedRequest:
     """A request that waits.
 
     Attributes:
@@ -21,13 +21,13 @@
     """
 
     request: object
-    since: float
-    held_at: float
-    gone: bool = False
+    arrived: float
+    queued_at: float
+    disconnected: bool = False
 
-    def leave(self, reason):
+    def mark_disconnected(self, reason):
         """Note that the caller has left."""
-        self.gone = True
+        self.disconnected = True
 
 
 class HoldingQueue:
@@ -41,32 +41,34 @@
         refuse: Called with each request that has waited for too long.
     """
 
-    def __init__(self, clock, longest, serve, refuse):
+    def __init__(self, clock, max_wait, serve, refuse):
         self.clock = clock
-        self.longest = longest
+        self.max_wait = max_wait
         self.serve = serve
         self.refuse = refuse
         self.waiting = deque()
 
-    def hold(self, request, since):
+    def enqueue(self, request, arrived):
         """Let a request wait that came at *since*; return whether it may."""
-        if len(self.waiting) >= MOST_HELD:
+        if len(self.waiting) >= MAX_QUEUED_REQUESTS:
             return False
-        held = Held(request, since, self.clock.seconds())
-        request.notifyFinish().addErrback(held.leave)
-        self.waiting.append(held)
+        queued = QueuedRequest(request, arrived, self.clock.seconds())
+        request.notifyFinish().addErrback(queued.mark_disconnected)
+        self.waiting.append(queued)
         return True
 
     def release(self):
         """Serve all that wait."""
         waiting, self.waiting = self.waiting, deque()
-        for held in waiting:
-            if not held.gone:
-                self.serve(held.request, held.since)
+        for queued in waiting:
+            if not queued.disconnected:
+                self.serve(queued.request, queued.arrived)
 
-    def check(self, now):
+    def refuse_expired(self, now):
         """Refuse those that have waited for too long."""
-        while self.waiting and now - self.waiting[0].held_at >= self.longest:
-            held = self.waiting.popleft()
-            if not held.gone:
-                self.refuse(held.request)
+        while (
+            self.waiting and now - self.waiting[0].queued_at >= self.max_wait
+        ):
+            queued = self.waiting.popleft()
+            if not queued.disconnected:
+                self.refuse(queued.request)
--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -78,7 +78,7 @@
         return self.limits.digest ^ self.registry.left_digest
 
     def listener(self, server_id, request):
-        """Return what takes the `Head` of an answer to a request.
+        """Return what takes the `ResponseHead` of an answer to a request.
 
         An answer of a start of the server that is over by then is dropped.
 
@@ -98,7 +98,7 @@
         """Take what the answer to a request says."""
         if head.leaving and server_id in self.registry.servers:
             self.hear_leaving(server_id, start, request, head)
-        if head.turned_away:
+        if head.rejected:
             self.hear_rest(server_id, request, head.retry_after)
         self.hear_limit(server_id, start, request, head)
 
@@ -136,7 +136,7 @@
 
     def note_leaving(self, notice, now):
         """Put a server that leaves on the time line; drop its connections."""
-        self.connections.forget(notice.server_id)
+        self.connections.close_idle(notice.server_id)
         self.timeline.note(
             EventKind.SERVER_LEAVING,
             server=notice.server_id,
@@ -244,7 +244,7 @@
         """Tell a host of the region all if it knows something else."""
         if member.region != self.members.own.region:
             return
-        if not self.comparison.must_tell(member.name, self.digest, digest):
+        if not self.comparison.must_send(member.name, self.digest, digest):
             return
         limits = self.limits.notices()
         leaving = list(self.registry.left.values())
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -29,12 +29,12 @@
 from ..traffic.serverlimits import ServerLimits
 from ..traffic.servers import Registry
 from .asking import Asking
-from .callers import FINISH_MARGIN, SERVE_ON, CallerApi
+from .callers import DRAIN_ACCEPT_SECONDS, STOP_MARGIN_SECONDS, CallerApi
 from .connections import Connections
+from .crashdetection import CrashDetector
 from .crashsharing import CrashSharing
 from .crashstore import CrashStore
 from .datagrams import LONGEST, Datagrams
-from .endings import Endings
 from .farhosts import FarHosts
 from .following import Following
 from .limiting import TRANSFERS_EVERY, Limiting, Standing
@@ -206,7 +206,7 @@
                 settings.retry_extra,
                 settings.retry_window,
             ),
-            endings=Endings(
+            endings=CrashDetector(
                 connections,
                 self.registry,
                 self.reactor,
@@ -294,7 +294,7 @@
     def configured(self):
         """Tell the hosts of the region, and serve those that waited."""
         self.membership.beat()
-        self.callers.starting.release()
+        self.callers.startup_queue.release()
 
     def limits(self):
         """Return the `RequestLimits` in force."""
@@ -465,8 +465,8 @@
         self.following.spawn(self.following.leave())
         for factory in self.factories:
             factory.closing = True
-        await self.sleep(SERVE_ON)
-        end = self.settings.stop_seconds - FINISH_MARGIN
+        await self.sleep(DRAIN_ACCEPT_SECONDS)
+        end = self.settings.stop_seconds - STOP_MARGIN_SECONDS
         while self.state.stopping_for < end and self.busy():
             self.factories[0].close_idle()
             await self.sleep(CHECK_EVERY)
@@ -480,9 +480,12 @@
         """Whether something is in progress, or nobody could take over."""
         if self.callers.exchanges or self.relay.relayed:
             return True
-        if self.callers.starting.waiting or self.callers.doubted.waiting:
+        if (
+            self.callers.startup_queue.waiting
+            or self.callers.unverified_queue.waiting
+        ):
             return True
-        return self.callers.holds_on()
+        return self.callers.must_stay_up()
 
     async def close(self):
         """Close all sockets and end all periodic work."""
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -12,20 +12,20 @@
 from ..net.sinks import AnswerSink, first_value
 from ..traffic.decisions import Ask, Placed
 from ..traffic.evidence import Finding
-from .attempts import Attempt, Head, Sending, silence_limit
-from .connections import Lane
+from .attempts import Attempt, OutgoingRequest, ResponseHead, silence_limit
+from .connections import Endpoint
+from .crashchecks import SUSPECTED_RETRY_SECONDS, CrashCheck
 from .notices import notice_details
-from .suspicion import HELD_RETRY_AFTER, Suspicion
 from .web import respond_refusal
 
-__all__ = ["ORDER_HEADER", "RelayApi", "RelayOrder", "encode_order"]
+__all__ = ["RELAY_HEADER", "RelayApi", "RelayParameters", "encode_parameters"]
 
-ORDER_HEADER = b"hyssop-relay"
+RELAY_HEADER = b"hyssop-relay"
 OUTCOME = b"hyssop-outcome"
 REASON = b"hyssop-reason"
 SERVER = b"hyssop-server"
 RETRY_AFTER = b"retry-after"
-BARRED_RETRY_AFTER = 1.0
+DENIED_RETRY_SECONDS = 1.0
 """Seconds after which a request may come back that this region may not
 serve, or not yet."""
 
@@ -33,7 +33,7 @@
 NOT_RUN = b"not-run"
 
 
-class RelayOrder(msgspec.Struct, array_like=True, frozen=True):
+class RelayParameters(msgspec.Struct, array_like=True, frozen=True):
     """What a forwarded request bears besides the caller's headers.
 
     Attributes:
@@ -70,16 +70,16 @@
     key_digest: str = ""
 
 
-_DECODER = msgspec.json.Decoder(RelayOrder)
+_DECODER = msgspec.json.Decoder(RelayParameters)
 
 
-def encode_order(order):
+def encode_parameters(parameters):
     """Return the value of the header that bears *order*."""
-    return msgspec.json.encode(order)
+    return msgspec.json.encode(parameters)
 
 
-def decode_order(value):
-    """Return the `RelayOrder` of a header.
+def decode_parameters(value):
+    """Return the `RelayParameters` of a header.
 
     Raises:
         ProtocolError: It is none.
@@ -91,26 +91,28 @@
 
 
 def read_relay_head(codec, status, headers):
-    """Return the `Head` of a relaying host's answer."""
+    """Return the `ResponseHead` of a relaying host's answer."""
     outcome = first_value(headers, OUTCOME)
     if outcome == NOT_RUN:
-        wait = first_value(headers, RETRY_AFTER)
+        retry_after = first_value(headers, RETRY_AFTER)
         try:
             reason = Reason(first_value(headers, REASON).decode("ascii"))
         except ValueError:
             reason = Reason.REFUSED
-        return Head(
+        return ResponseHead(
             not_run=True,
-            retry_after=float(wait) if wait else NOTHING,
+            retry_after=float(retry_after) if retry_after else NOTHING,
             reason=reason,
         )
     if outcome != ANSWERED:
-        return Head()
+        return ResponseHead()
     head = codec.read_head(status, headers)
     server = first_value(headers, SERVER).decode("latin-1")
     for name in (OUTCOME, SERVER, REASON):
         headers.removeHeader(name)
-    return Head(echo=head.echo, stamped=True, server_id=server)
+    return ResponseHead(
+        echoed_id=head.echoed_id, signed=True, server_id=server
+    )
 
 
 class RelayApi:
@@ -128,7 +130,7 @@
 
     def handle(self, request):
         """Serve one HTTP request of another host."""
-        header = request.requestHeaders.getRawHeaders(ORDER_HEADER)
+        header = request.requestHeaders.getRawHeaders(RELAY_HEADER)
         if not header:
             self.handle_page(request)
             return
@@ -143,11 +145,11 @@
             )
             return
         try:
-            order = decode_order(header[0])
+            parameters = decode_parameters(header[0])
         except ProtocolError as problem:
             respond_refusal(request, 400, str(problem))
             return
-        Relay(self, request, order).start()
+        Relay(self, request, parameters).start()
 
     def handle_page(self, request):
         """Answer with this host's copy of the store."""
@@ -159,7 +161,7 @@
         request.write(body)
         request.finish()
 
-    def barred(self, order):
+    def denial_reason(self, parameters):
         """Return why this region may not serve an order, or `NOTHING`.
 
         Checked here as well: the sender's configuration may be older.
@@ -167,12 +169,14 @@
         current = self.state.keeper.current
         if current is NOTHING:
             return Reason.NO_CONFIGURATION
-        bound = [one for one in current.routes if one.name == order.route]
-        workspace = current.workspaces.get(order.workspace)
+        restrictions = [
+            one for one in current.routes if one.name == parameters.route
+        ]
+        workspace = current.workspaces.get(parameters.workspace)
         if workspace is not None:
-            bound.append(workspace)
+            restrictions.append(workspace)
         region = self.state.settings.region
-        if all(not one.homes or region in one.homes for one in bound):
+        if all(not one.homes or region in one.homes for one in restrictions):
             return NOTHING
         return Reason.RESIDENCY
 
@@ -183,17 +187,20 @@
     Args:
         api: The `RelayApi`.
         request: The `WebRequest`.
-        order: The `RelayOrder`.
+        parameters: The `RelayParameters`.
     """
 
-    def __init__(self, api, request, order):
+    def __init__(self, api, request, parameters):
         self.api = api
         self.state = api.state
         self.request = request
-        self.order = order
+        self.parameters = parameters
         self.sink = AnswerSink(request)
-        self.suspicion = Suspicion(
-            self.state.sharing, request, order.caller, order.key_digest
+        self.crash_check = CrashCheck(
+            self.state.sharing,
+            request,
+            parameters.caller,
+            parameters.key_digest,
         )
         self.attempt = NOTHING
         self.arrived = self.state.clock.seconds()
@@ -205,7 +212,7 @@
     def start(self):
         """Begin; the answer ends it."""
         gone = self.request.notifyFinish()
-        gone.addErrback(self.caller_gone)
+        gone.addErrback(self.handle_disconnect)
         self.api.relayed.add(self)
         work = defer.ensureDeferred(self.run())
         work.addBoth(self.ended)
@@ -220,26 +227,26 @@
             if not self.sink.finished:
                 self.sink.abort()
 
-    def caller_gone(self, reason):
+    def handle_disconnect(self, reason):
         """Stop the server's work when the sender has gone."""
         if self.attempt is NOTHING:
             return
         waited = self.state.clock.seconds() - self.began
         silent = waited > silence_limit(self.predicted)
-        silent = silent and not self.attempt.first_seen
+        silent = silent and not self.attempt.first_data_received
         self.attempt.abandon(Reason.CALLER_GONE, silent=silent)
 
     async def run(self):
         """Place the request, make one attempt and pass its answer on."""
-        facts = self.state.codec.read_caller(self.request.requestHeaders)
-        self.id = facts.id.decode("latin-1")
-        barred = self.api.barred(self.order)
-        if barred is not NOTHING:
-            self.refuse(NotRun(barred, BARRED_RETRY_AFTER))
+        metadata = self.state.codec.read_caller(self.request.requestHeaders)
+        self.id = metadata.id.decode("latin-1")
+        denial_reason = self.api.denial_reason(self.parameters)
+        if denial_reason is not NOTHING:
+            self.refuse(NotRun(denial_reason, DENIED_RETRY_SECONDS))
             return
-        if self.refuse_for_crashes():
+        if self.refuse_if_crashing():
             return
-        number, decision = await self.state.asking.place(self.ask(facts))
+        number, decision = await self.state.asking.place(self.ask(metadata))
         if not isinstance(decision, Placed):
             outcome = NotRun(Reason.OVERLOADED, decision.retry_after)
             details = notice_details(decision)
@@ -256,73 +263,77 @@
             placed_by=self.state.asking.placer_of(number),
             **notice_details(decision),
         )
-        if self.sink.gone or self.refuse_for_crashes():
+        if self.sink.gone or self.refuse_if_crashing():
             self.state.asking.note_end(number, Finding.UNUSED)
             return
-        outcome = await self.carry(number, decision, facts)
+        outcome = await self.run_attempt(number, decision, metadata)
         self.conclude(outcome)
 
-    def refuse_for_crashes(self):
+    def refuse_if_crashing(self):
         """Refuse a request under which servers end; return whether.
 
         Checked here as well: its sender may not have heard of it yet.
         """
-        reason = self.suspicion.refusal()
+        reason = self.crash_check.refusal()
         if reason is NOTHING:
             return False
-        evidence = self.suspicion.evidence()
-        self.refuse(NotRun(reason, HELD_RETRY_AFTER), evidence=evidence)
+        evidence = self.crash_check.evidence()
+        self.refuse(NotRun(reason, SUSPECTED_RETRY_SECONDS), evidence=evidence)
         return True
 
-    def ask(self, facts):
+    def ask(self, metadata):
         """Return the `Ask`; it stays in this region."""
         return Ask(
             host="",
             number=0,
-            service=self.order.service,
-            demand=replace(facts.demand, answer_within=self.order.time_left),
-            time_left=self.order.objective_left,
-            patience=self.order.patience,
-            priority=self.order.priority,
-            excluded=tuple(self.order.excluded),
+            service=self.parameters.service,
+            demand=replace(
+                metadata.demand, answer_within=self.parameters.time_left
+            ),
+            time_left=self.parameters.objective_left,
+            patience=self.parameters.patience,
+            priority=self.parameters.priority,
+            excluded=tuple(self.parameters.excluded),
             may_leave=False,
-            begun=self.order.begun,
-            apart=self.suspicion.apart(),
+            begun=self.parameters.begun,
+            apart=self.crash_check.apart(),
         )
 
-    async def carry(self, number, placed, facts):
+    async def run_attempt(self, number, placed, metadata):
         """Make the attempt and return its outcome."""
         self.server_id = placed.server_id
         self.predicted = placed.predicted
         began = self.began = self.state.clock.seconds()
-        left = self.order.time_left - (began - self.arrived)
+        left = self.parameters.time_left - (began - self.arrived)
         headers = self.state.codec.server_headers(
             self.request.requestHeaders,
             time_left=left,
             server_id=placed.server_id,
-            urgency=placed.urgency if facts.demand.tokens_in else NOTHING,
-            last_event=self.order.last_event.encode(),
+            urgency=placed.urgency if metadata.demand.tokens_in else NOTHING,
+            last_event=self.parameters.last_event.encode(),
             copy_from=placed.copy_from,
-            workspace=self.order.workspace,
+            workspace=self.parameters.workspace,
         )
-        headers.removeHeader(ORDER_HEADER)
+        headers.removeHeader(RELAY_HEADER)
         self.attempt = Attempt(
             self.state.connections,
-            Lane(placed.server_id, placed.address),
-            sending_of(self.request, facts, headers, self.order),
+            Endpoint(placed.server_id, placed.address),
+            outgoing_request_for(
+                self.request, metadata, headers, self.parameters
+            ),
             self.state.codec.read_head,
             self.state.clock,
-            opened=self.open_stream,
-            started=lambda: self.state.asking.note_start(
+            on_stream=self.open_stream,
+            on_first_data=lambda: self.state.asking.note_start(
                 number, self.state.clock.seconds() - began
             ),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            on_head=self.state.notices.listener(placed.server_id, self.id),
         )
         outcome = await self.attempt.run()
         self.state.asking.note_end(number, self.attempt.finding)
         await self.state.endings.examine(
             self.attempt,
-            self.order.caller,
+            self.parameters.caller,
             placed.predicted,
             sent_by=self.request.peer_ip,
         )
@@ -330,11 +341,11 @@
 
     def open_stream(self, answer, response):
         """Pass the head of a stream on; return what takes its events."""
-        self.sink.start(answer.status, self.marked(answer.headers))
+        self.sink.start(answer.status, self.relay_headers(answer.headers))
         self.sink.pausing(response._transport)
         return self.sink.write
 
-    def marked(self, headers):
+    def relay_headers(self, headers):
         """Return the headers of an answer with what the sender needs."""
         return [
             *headers,
@@ -349,7 +360,7 @@
             request=self.id,
             server=self.server_id,
             outcome=outcome,
-            service=self.order.service,
+            service=self.parameters.service,
             **self.state.provenance.details(),
         )
         if self.sink.started:
@@ -360,7 +371,7 @@
         elif isinstance(outcome, Answered):
             answer = self.attempt.answer
             self.sink.whole(
-                answer.status, self.marked(answer.headers), answer.body
+                answer.status, self.relay_headers(answer.headers), answer.body
             )
         elif isinstance(outcome, Unknown):
             self.sink.abort()
@@ -396,23 +407,23 @@
         respond_refusal(self.request, 503, str(outcome.reason), headers)
 
 
-def sending_of(request, facts, headers, order):
-    """Return the `Sending` of a request.
+def outgoing_request_for(request, metadata, headers, parameters):
+    """Return the `OutgoingRequest` of a request.
 
     Args:
         request: The `WebRequest`.
-        facts: The `CallerFacts`.
+        metadata: The `RequestMetadata`.
         headers: `Headers` to send.
-        order: Says whether it is a stream and may be repeated.
+        parameters: Says whether it is a stream and may be repeated.
     """
     request.content.seek(0)
-    return Sending(
-        id=facts.id,
+    return OutgoingRequest(
+        id=metadata.id,
         method=request.method,
         uri=request.uri,
         headers=headers,
         body=request.content.read(),
-        stream=order.stream,
-        repeatable=order.repeatable,
-        key_digest=order.key_digest,
+        stream=parameters.stream,
+        repeatable=parameters.repeatable,
+        key_digest=parameters.key_digest,
     )
--- a/src/hyssopspring/entry/requests.py
+++ b/src/hyssopspring/entry/requests.py
@@ -5,11 +5,11 @@
 from ..core.sentinels import NOTHING
 from ..traffic.work import Demand
 
-__all__ = ["CallerFacts"]
+__all__ = ["RequestMetadata"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerFacts:
+class RequestMetadata:
     """What a caller states of its request.
 
     Attributes:
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -26,7 +26,7 @@
         view: `ConfirmedView` of the configuration.
         provenance: `Provenance` of the configuration in force.
         retries: `RetryWindow`.
-        endings: `Endings` of backend servers.
+        endings: `CrashDetector` of backend servers.
         sharing: `CrashSharing` of requests under which servers ended.
         notices: `Notices` that servers give in their answers.
         codec: Reads and writes the headers of callers and servers.
--- a/src/hyssopspring/platform/headers.py
+++ b/src/hyssopspring/platform/headers.py
@@ -6,8 +6,8 @@
 
 from ..core.hashing import credential_digest
 from ..core.sentinels import INVALID, NOTHING
-from ..entry.attempts import Head
-from ..entry.requests import CallerFacts
+from ..entry.attempts import ResponseHead
+from ..entry.requests import RequestMetadata
 from ..net.sinks import first_value
 from ..traffic.work import Demand
 
@@ -73,11 +73,11 @@
 
 
 def read_caller(headers):
-    """Return the `CallerFacts` of a caller's headers.
+    """Return the `RequestMetadata` of a caller's headers.
 
     What cannot be read counts as absent: the server judges it.
     """
-    return CallerFacts(
+    return RequestMetadata(
         id=first_value(headers, REQUEST_ID),
         deadline=read_number(first_value(headers, DEADLINE), 0.001),
         demand=read_demand(headers),
@@ -197,17 +197,17 @@
 
 
 def read_head(status, headers):
-    """Return the `Head` of a server's answer."""
-    echo = first_value(headers, REQUEST_ID)
-    return Head(
+    """Return the `ResponseHead` of a server's answer."""
+    echoed_id = first_value(headers, REQUEST_ID)
+    return ResponseHead(
         not_run=bool(first_value(headers, NOT_RUN)),
         misdirected=status == MISDIRECTED,
-        echo=echo or NOTHING,
-        stamped=bool(first_value(headers, STAMP)),
+        echoed_id=echoed_id or NOTHING,
+        signed=bool(first_value(headers, STAMP)),
         retry_after=read_decimal(headers, RETRY_AFTER),
         limit=read_limit(headers),
         leaving=read_leaving(headers),
-        turned_away=status == TURNED_AWAY,
+        rejected=status == TURNED_AWAY,
     )
 
 
--- a/src/hyssopspring/platform/store.py
+++ b/src/hyssopspring/platform/store.py
@@ -7,7 +7,7 @@
 
 from ..core.exceptions import KeyValueError, NoAnswerError, ProtocolError
 from ..core.sentinels import NOTHING
-from ..entry.connections import Lane
+from ..entry.connections import Endpoint
 from ..entry.fetching import fetch
 from ..entry.mirrors import Changes, HistoryLostError, Removal
 from ..stores.keyvalues import (
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, address, connections, clock, silent=lambda at: None):
-        self.lane = Lane("store", address, True, IDLE_KEPT)
+        self.endpoint = Endpoint("store", address, True, IDLE_KEPT)
         self.host = address.encode()
         self.connections = connections
         self.clock = clock
@@ -258,7 +258,7 @@
         try:
             return await fetch(
                 self.connections,
-                self.lane,
+                self.endpoint,
                 method.encode(),
                 path.encode(),
                 self.host,
@@ -267,7 +267,7 @@
                 clock=self.clock,
             )
         except NoAnswerError as problem:
-            self.connections.forget(self.lane.key)
+            self.connections.close_idle(self.endpoint.key)
             self.silent(sent_at)
             raise KeyValueError(f"{path}: {problem}") from None
 
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -12,7 +12,7 @@
 
 from hyssopspring.core.addresses import split_address
 from hyssopspring.core.tokenlimits import Allowance, TokenLimits
-from hyssopspring.entry.attempts import Head
+from hyssopspring.entry.attempts import ResponseHead
 from hyssopspring.entry.crashsharing import CrashSharing
 from hyssopspring.entry.datagrams import Datagrams
 from hyssopspring.entry.limiting import (
@@ -93,7 +93,7 @@
     def keep_only(self, host, numbers, now, *, older_than):
         """Do nothing."""
 
-    def forget(self, key):
+    def close_idle(self, key):
         """Do nothing."""
 
     def note(self, kind, **details):
@@ -616,7 +616,7 @@
         placing.server_limits.take(server_id, now)
         self.arrived[server_id].append(now)
         self.sent += 1
-        head = Head(stamped=True, limit=self.limit(now))
+        head = ResponseHead(signed=True, limit=self.limit(now))
         hear = host.notices.listener(server_id, f"r{self.sent}")
         self.network.clock.callLater(
             ANSWER_SECONDS, lambda: host.up and hear(head)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -260,16 +260,16 @@
 )
 def test_prompts_that_cannot_be_read_do_not_stop_a_request(parts):
     """The server judges what the caller sent; it is passed on as it is."""
-    facts = headers.read_caller(
+    metadata = headers.read_caller(
         Headers({b"X-Prompt-Prefix": [parts], b"X-Deadline-Ms": [b"soon"]})
     )
-    assert_that(facts.deadline, Is(NOTHING))
-    assert facts.demand.tokens_in >= 0
+    assert_that(metadata.deadline, Is(NOTHING))
+    assert metadata.demand.tokens_in >= 0
 
 
 def test_the_demand_is_read_from_the_prompt_and_the_hint():
     """The estimate of the caller replaces the most that it allows."""
-    facts = headers.read_caller(
+    metadata = headers.read_caller(
         Headers(
             {
                 b"X-Prompt-Prefix": [b"5c1e:800,91bd:410"],
@@ -279,10 +279,10 @@
             }
         )
     )
-    assert_that(facts.demand.parts, Equals((("5c1e", 800), ("91bd", 410))))
-    assert_that(facts.demand.tokens_in, Equals(1460))
-    assert_that(facts.demand.tokens_out, Equals(30))
-    assert_that(facts.deadline, Equals(5.0))
+    assert_that(metadata.demand.parts, Equals((("5c1e", 800), ("91bd", 410))))
+    assert_that(metadata.demand.tokens_in, Equals(1460))
+    assert_that(metadata.demand.tokens_out, Equals(30))
+    assert_that(metadata.deadline, Equals(5.0))
 
 
 def test_a_value_that_is_no_base64_hides_no_other_entry():
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -12,8 +12,8 @@
 from twisted.web.http_headers import Headers
 
 from hyssopspring.core.sentinels import NOTHING
+from hyssopspring.entry.crashdetection import fingerprint_of
 from hyssopspring.entry.crashstore import CRASHES_PREFIX
-from hyssopspring.entry.endings import fingerprint_of
 from hyssopspring.records import cause_of, read_records
 
 CRASHING = b"draft that no server survives"
@@ -23,7 +23,7 @@
 """Sends to servers that are allowed once three servers have ended."""
 
 
-class EndingServers:
+class CrashingServers:
     """Servers that end under one request, and are back at once.
 
     Args:
@@ -139,8 +139,8 @@
     lines that name what repeats share, and by this test without a memory.
     """
     plain, engines = (
-        EndingServers(hosts, "plain"),
-        EndingServers(hosts, "engine"),
+        CrashingServers(hosts, "plain"),
+        CrashingServers(hosts, "engine"),
     )
     again = [
         await repeat(plain, send, "/lookup/a"),
@@ -158,7 +158,7 @@
     Repeats bear new identifiers. The line of an ended server names what
     they share; a server that only breaks off an answer has no such line.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     await crashes.settled()
     hosts.backends["engine-north"].mood = "cut"
     await send("h-north", "/review/a", 1, b"", **USAGE)
@@ -187,7 +187,7 @@
     host that takes each for another caller lets each of them end three
     servers. That another caller sends the same is shown by one try only.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     sent = NOTHING
     for number in range(16):
         await crashes.settled()
@@ -219,7 +219,7 @@
     Nothing of this try ran, so it is told so; no time to come back is
     named, and the line says which servers ended and which host saw it.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     await block(crashes, send, "/post/a")
     await hosts.until(lambda: known_as_bad(hosts))
     sent = crashes.sent
@@ -274,7 +274,7 @@
             for process in hosts.processes.values()
         )
     )
-    plain = EndingServers(hosts, "plain")
+    plain = CrashingServers(hosts, "plain")
     again = await repeat(plain, send, "/lookup/a", x_api_key="desk-key")
     assert_that(again, LessThan(MOST_RETRIES + 1))
     fingerprints = {
@@ -288,7 +288,7 @@
 @pytest_twisted.ensureDeferred
 async def test_others_are_served_while_a_request_is_blocked(hosts, send):
     """Another path, or another body, is refused in its place."""
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     await block(crashes, send, "/post/a")
     await crashes.settled()
     for path, body in (("/post/b", b""), ("/post/a", b"another draft")):
@@ -327,7 +327,7 @@
 
     The servers that have started since run it well.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     await block(crashes, send, "/post/a")
     await hosts.until(lambda: known_as_bad(hosts))
     for backend in crashes.servers:
@@ -347,7 +347,7 @@
 
     The route is bound to the south; callers of the north are sent there.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     for number in range(12):
         await crashes.settled()
         await send("h-north", "/bound/a", number, CRASHING)
@@ -359,7 +359,7 @@
 @pytest_twisted.ensureDeferred
 async def test_a_host_that_starts_alone_reads_what_is_blocked(hosts, send):
     """All hosts end at once, and the first one back ends servers again."""
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     await block(crashes, send, "/post/a")
     await hosts.until(lambda: stored_as_blocked(hosts.store))
     for name in list(hosts.processes):
@@ -384,7 +384,7 @@
 @pytest_twisted.ensureDeferred
 async def test_servers_that_only_break_off_block_nothing(hosts, send):
     """A request is refused whose servers live on."""
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     for backend in crashes.servers:
         backend.mood = "reset"
     for number in range(6):
@@ -400,7 +400,7 @@
 
     A server says that it leaves, goes on with what it has, and ends.
     """
-    crashes = EndingServers(hosts, "plain")
+    crashes = CrashingServers(hosts, "plain")
     for number in range(4):
         await crashes.settled()
         waiting = [one for one in crashes.servers if one.up]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -11,12 +11,12 @@
 from twisted.internet import defer, protocol, reactor, task
 from twisted.web.http_headers import Headers
 
-from hyssopspring.entry.callers import SERVE_ON
+from hyssopspring.entry.callers import DRAIN_ACCEPT_SECONDS
 from hyssopspring.entry.messages import StoreChange, StoredItem
 from hyssopspring.entry.relaying import (
-    ORDER_HEADER,
-    RelayOrder,
-    encode_order,
+    RELAY_HEADER,
+    RelayParameters,
+    encode_parameters,
 )
 
 USAGE = {"x_token_usage": "100,20", "x_prompt_prefix": "ab:60,cd:40"}
@@ -250,7 +250,9 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_host_that_the_store_refuses_learns_from_a_neighbour(hosts):
+async def test_a_host_that_the_store_refuses_gets_changes_from_its_region(
+    hosts,
+):
     """One host serves a dropped route for as long as the store refuses it.
 
     The store turns this host away and serves its neighbour.
@@ -312,7 +314,7 @@
             not in [m.name for m in south.members.live(reactor.seconds())]
         )
     )
-    await task.deferLater(reactor, SERVE_ON)
+    await task.deferLater(reactor, DRAIN_ACCEPT_SECONDS)
     status, _, _ = await hosts.send(
         "h-north", "/review/a", identifier="r2", method=b"POST", **USAGE
     )
@@ -329,7 +331,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_the_lines_of_a_request_tell_its_whole_way(hosts):
+async def test_log_lines_show_each_step_of_a_request(hosts):
     """On call reads why a request was answered from another region."""
     hosts.backends["plain-north"].mood = "full"
     await hosts.send("h-north", "/lookup/a", identifier="r1")
@@ -379,20 +381,24 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_strangers_change_nothing(hosts):
+async def test_unknown_hosts_change_nothing(hosts):
     """A request runs past all checks, or a change comes from nowhere.
 
     Someone who is no host of the system reaches the ports between hosts.
     """
     north = hosts.processes["h-north"]
     relay = north.members.own.relay
-    order = encode_order(
-        RelayOrder("x", "plain", False, True, 5.0, 1.0, 5.0, 0, [], "", False)
+    parameters = encode_parameters(
+        RelayParameters(
+            "x", "plain", False, True, 5.0, 1.0, 5.0, 0, [], "", False
+        )
     )
     response = await hosts.agent.request(
         b"POST",
         f"http://{relay}/lookup/a".encode(),
-        Headers({ORDER_HEADER: [order], b"x-request-attempt-id": [b"r9"]}),
+        Headers(
+            {RELAY_HEADER: [parameters], b"x-request-attempt-id": [b"r9"]}
+        ),
     )
     assert_that(response.code, Equals(403))
     outcome = response.headers.getRawHeaders("hyssop-outcome")
@@ -525,8 +531,8 @@
     connections = hosts.processes["h-north"].state.connections
     opened = connections.open
 
-    def open_late(lane, *, kept):
-        return task.deferLater(reactor, 0.6, opened, lane, kept=kept)
+    def open_late(endpoint, *, reuse):
+        return task.deferLater(reactor, 0.6, opened, endpoint, reuse=reuse)
 
     connections.open = open_late
     status, _, _ = await hosts.send(
--- a/tests/test_farhosts.py
+++ b/tests/test_farhosts.py
@@ -39,9 +39,9 @@
         """Return the idle connections to *key*."""
         return self.idle.get(key, 0)
 
-    def prepare(self, lane):
+    def preconnect(self, endpoint):
         """Note that one is being opened."""
-        self.prepared.append(lane.key)
+        self.prepared.append(endpoint.key)
 
 
 @pytest.fixture
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -5,8 +5,8 @@
 from testtools.matchers import Equals, HasLength
 from twisted.internet import defer, task
 
-from hyssopspring.entry.callers import LONGEST_START
-from hyssopspring.entry.holding import MOST_HELD, HoldingQueue
+from hyssopspring.entry.callers import MAX_STARTUP_WAIT_SECONDS
+from hyssopspring.entry.holding import MAX_QUEUED_REQUESTS, HoldingQueue
 
 
 class Request:
@@ -20,7 +20,7 @@
         return self.done
 
 
-class Desk:
+class Recorder:
     """Note what is served and refused."""
 
     def __init__(self):
@@ -29,56 +29,56 @@
         self.refused = []
         self.queue = HoldingQueue(
             self.clock,
-            LONGEST_START,
-            lambda request, since: self.served.append((request, since)),
+            MAX_STARTUP_WAIT_SECONDS,
+            lambda request, arrived: self.served.append((request, arrived)),
             self.refused.append,
         )
 
 
 @pytest.fixture
-def desk():
-    """Return a `Desk`."""
-    return Desk()
+def recorder():
+    """Return a `Recorder`."""
+    return Recorder()
 
 
-def test_a_request_waits_for_the_first_configuration(desk):
+def test_a_request_waits_for_the_first_configuration(recorder):
     """Callers are refused by a host that would serve 0.3 s later.
 
     All hosts have lost power. A caller comes back once, and the first host
     that answers is still reading the store in another region.
     """
     request = Request()
-    desk.clock.advance(1.0)
-    assert desk.queue.hold(request, desk.clock.seconds())
-    desk.clock.advance(0.3)
-    desk.queue.check(desk.clock.seconds())
-    desk.queue.release()
-    assert_that(desk.served, Equals([(request, 1.0)]))
-    assert_that(desk.refused, HasLength(0))
+    recorder.clock.advance(1.0)
+    assert recorder.queue.enqueue(request, recorder.clock.seconds())
+    recorder.clock.advance(0.3)
+    recorder.queue.refuse_expired(recorder.clock.seconds())
+    recorder.queue.release()
+    assert_that(recorder.served, Equals([(request, 1.0)]))
+    assert_that(recorder.refused, HasLength(0))
 
 
-def test_it_is_refused_once_the_store_does_not_answer(desk):
+def test_it_is_refused_once_the_store_does_not_answer(recorder):
     """Callers wait till their deadline while the store is silent."""
     request = Request()
-    desk.queue.hold(request, desk.clock.seconds())
-    desk.clock.advance(LONGEST_START)
-    desk.queue.check(desk.clock.seconds())
-    desk.queue.release()
-    assert_that(desk.refused, Equals([request]))
-    assert_that(desk.served, HasLength(0))
+    recorder.queue.enqueue(request, recorder.clock.seconds())
+    recorder.clock.advance(MAX_STARTUP_WAIT_SECONDS)
+    recorder.queue.refuse_expired(recorder.clock.seconds())
+    recorder.queue.release()
+    assert_that(recorder.refused, Equals([request]))
+    assert_that(recorder.served, HasLength(0))
 
 
-def test_a_caller_that_left_is_not_served(desk):
+def test_a_caller_that_left_is_not_served(recorder):
     """A request runs whose caller has gone while it waited."""
     request = Request()
-    desk.queue.hold(request, desk.clock.seconds())
+    recorder.queue.enqueue(request, recorder.clock.seconds())
     request.done.errback(ConnectionError("left"))
-    desk.queue.release()
-    assert_that(desk.served, HasLength(0))
+    recorder.queue.release()
+    assert_that(recorder.served, HasLength(0))
 
 
-def test_few_wait_at_once(desk):
+def test_few_wait_at_once(recorder):
     """A host runs out of memory before it has served anyone."""
-    for _ in range(MOST_HELD):
-        assert desk.queue.hold(Request(), 0.0)
-    assert not desk.queue.hold(Request(), 0.0)
+    for _ in range(MAX_QUEUED_REQUESTS):
+        assert recorder.queue.enqueue(Request(), 0.0)
+    assert not recorder.queue.enqueue(Request(), 0.0)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -12,8 +12,8 @@
 from hyssopspring.core.hashing import credential_digest
 from hyssopspring.core.outcomes import Reason
 from hyssopspring.core.sentinels import INVALID, NOTHING
-from hyssopspring.entry.admission import Barred, Rights, rights_of
-from hyssopspring.entry.requests import CallerFacts
+from hyssopspring.entry.admission import Denied, Permissions, authorize
+from hyssopspring.entry.requests import RequestMetadata
 from hyssopspring.platform import headers
 from hyssopspring.platform.operator import conceal_keys, decode_configuration
 
@@ -23,23 +23,23 @@
     return decode_configuration(conceal_keys(msgspec.json.encode(document)))
 
 
-def rights(configuration, route, key="", tokens=NOTHING):
+def permissions(configuration, route, key="", tokens=NOTHING):
     """Return what a caller with *key* may do on a route."""
     digest = credential_digest(key.encode()) if key else ""
-    facts = CallerFacts(id=b"r1", key_digest=digest, tokens=tokens)
+    metadata = RequestMetadata(id=b"r1", key_digest=digest, tokens=tokens)
     found = configuration.find_route("a.example", route)
-    return rights_of(configuration, found, facts)
+    return authorize(configuration, found, metadata)
 
 
 def test_a_key_tells_the_workspace_and_its_rights():
     """Priority of the workspace goes before that of the route."""
     current = decoded(keyed_configuration())
     assert_that(
-        rights(current, "/lookup/", "desk-key"),
-        Equals(Rights(workspace="desk", priority=1)),
+        permissions(current, "/lookup/", "desk-key"),
+        Equals(Permissions(workspace="desk", priority=1)),
     )
     assert_that(
-        rights(current, "/lookup/", "bound-key").homes,
+        permissions(current, "/lookup/", "bound-key").homes,
         Equals(frozenset({"south"})),
     )
 
@@ -49,17 +49,17 @@
     """A request without a right runs at a server."""
     current = decoded(keyed_configuration())
     assert_that(
-        rights(current, "/lookup/", key),
-        Equals(Barred(401, Reason.UNKNOWN_WORKSPACE)),
+        permissions(current, "/lookup/", key),
+        Equals(Denied(401, Reason.UNKNOWN_WORKSPACE)),
     )
 
 
 def test_public_routes_and_deployments_without_workspaces_need_no_key():
     """Callers who never had a key are turned away."""
     current = decoded(keyed_configuration())
-    assert_that(rights(current, "/open/"), Equals(Rights()))
+    assert_that(permissions(current, "/open/"), Equals(Permissions()))
     plain = decoded(configuration())
-    assert_that(rights(plain, "/lookup/"), Equals(Rights()))
+    assert_that(permissions(plain, "/lookup/"), Equals(Permissions()))
 
 
 def test_homes_of_route_and_workspace_both_bind():
@@ -71,12 +71,12 @@
         )
     )
     assert_that(
-        rights(current, "/bound/", "bound-key").homes,
+        permissions(current, "/bound/", "bound-key").homes,
         Equals(frozenset({"south"})),
     )
     assert_that(
-        rights(current, "/lookup/", "bound-key"),
-        Equals(Barred(503, Reason.RESIDENCY)),
+        permissions(current, "/lookup/", "bound-key"),
+        Equals(Denied(503, Reason.RESIDENCY)),
     )
 
 
@@ -98,15 +98,17 @@
 def test_a_request_costs_what_its_limit_counts(unit, tokens, cost):
     """Tokens where the limit counts tokens; a fixed number without any."""
     current = decoded(limited(unit=unit, plain_tokens=30))
-    assert_that(rights(current, "/lookup/", "k", tokens).cost, Equals(cost))
+    assert_that(
+        permissions(current, "/lookup/", "k", tokens).cost, Equals(cost)
+    )
 
 
 def test_a_request_with_a_senseless_count_of_tokens_is_refused():
     """A workspace asks for any amount, as its counts cannot be read."""
     current = decoded(limited(unit="tokens"))
     assert_that(
-        rights(current, "/lookup/", "k", INVALID),
-        Equals(Barred(400, Reason.BAD_REQUEST)),
+        permissions(current, "/lookup/", "k", INVALID),
+        Equals(Denied(400, Reason.BAD_REQUEST)),
     )
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer
 
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.entry.attempts import Head
+from hyssopspring.entry.attempts import ResponseHead
 from hyssopspring.traffic.servers import (
     LeavingNotice,
     Registry,
@@ -169,7 +169,9 @@
     """Have a host hear that the first server of its region leaves."""
     host = network.hosts[name]
     server_id = f"{host.region}-server-0"
-    host.notices.listener(server_id, "r1")(Head(stamped=True, leaving=True))
+    host.notices.listener(server_id, "r1")(
+        ResponseHead(signed=True, leaving=True)
+    )
 
 
 def unaware(network):
--- a/tests/test_rests.py
+++ b/tests/test_rests.py
@@ -121,7 +121,7 @@
     """A date in place of seconds closes a server, or fails the answer."""
     headers = Headers({b"retry-after": list(values)})
     head = read_head(503, headers)
-    assert_that((head.turned_away, head.retry_after), Equals((True, read)))
+    assert_that((head.rejected, head.retry_after), Equals((True, read)))
 
 
 @pytest.fixture
