--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -184,7 +184,7 @@
         self.on_head = on_head
         self.connection = NOTHING
         self.sent = False
-        self.answer = NOTHING
+        self.buffered_response = NOTHING
         self.finding = Finding.CANCELLED
         self.events = 0
         self.first_data_received = False
@@ -301,7 +301,7 @@
     async def receive_response(self, response, head):
         """Buffer the whole response and classify it."""
         body = await self.read(response, BodyCollector(MAX_RESPONSE_BYTES))
-        self.answer = BufferedResponse(
+        self.buffered_response = BufferedResponse(
             response.code, forwarded_headers(response), body, head
         )
         if head.misdirected:
@@ -334,10 +334,10 @@
         """Forward complete events as they arrive."""
         if not head.signed:
             raise _InvalidResponse
-        answer = BufferedResponse(
+        buffered_response = BufferedResponse(
             response.code, forwarded_headers(response), b"", head
         )
-        write = self.on_stream(answer, response)
+        write = self.on_stream(buffered_response, response)
 
         def on_events(events):
             self.note_first_data()
@@ -377,7 +377,7 @@
         if self.abandon_reason is not NOTHING:
             if self.was_silent:
                 self.finding = Finding.SILENT
-                # Other idle connections to it may be dead for the same cause.
+                # Its other idle connections may be unusable for the same reason.
                 self.connections.close_idle(
                     self.endpoint.key, before=self.sent_at
                 )
@@ -467,12 +467,12 @@
 
 def split_events(data):
     """Return the complete events at the start of *data*, and the rest."""
-    cut = 0
+    boundary = 0
     for terminator in EVENT_TERMINATORS:
         found = data.rfind(terminator)
         if found >= 0:
-            cut = max(cut, found + len(terminator))
-    return data[:cut], data[cut:]
+            boundary = max(boundary, found + len(terminator))
+    return data[:boundary], data[boundary:]
 
 
 def forwarded_headers(response):
--- a/src/hyssopspring/entry/connections.py
+++ b/src/hyssopspring/entry/connections.py
@@ -17,7 +17,7 @@
 than 10 ms there, so a retransmission after one lost packet already exceeds the
 timeout."""
 
-CROSS_REGION_CONNECT_TIMEOUT_SECONDS = 0.8
+REMOTE_CONNECT_TIMEOUT_SECONDS = 0.8
 """Timeout of opening a connection to another region, where a round trip takes
 160 ms."""
 
@@ -102,14 +102,14 @@
     Attributes:
         key: Identifier of the pool: a start of a server, or a host.
         address: ``ip:port``.
-        cross_region: Whether it is in another region.
+        remote: Whether it is in another region.
         keep_alive_seconds: Seconds for which an idle connection may be used,
             or `NOTHING` to use the idle timeout that responses announce.
     """
 
     key: str
     address: str
-    cross_region: bool = False
+    remote: bool = False
     keep_alive_seconds: object = NOTHING
 
 
@@ -220,8 +220,8 @@
         )
         ip, port = split_address(endpoint.address)
         timeout = (
-            CROSS_REGION_CONNECT_TIMEOUT_SECONDS
-            if endpoint.cross_region
+            REMOTE_CONNECT_TIMEOUT_SECONDS
+            if endpoint.remote
             else CONNECT_TIMEOUT_SECONDS
         )
         connector = self.reactor.connectTCP(
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -98,7 +98,7 @@
         self.tries = 0
         self.may_leave = True
         self.avoided = []
-        self.refused_by_placement = False
+        self.refused_locally = False
         self.retry_spent = False
         self.switching = False
         self.next_placement = NOTHING
@@ -113,8 +113,8 @@
 
     def start(self):
         """Start processing; it ends with the response."""
-        gone = self.request.notifyFinish()
-        gone.addErrback(self.handle_disconnect)
+        disconnected = self.request.notifyFinish()
+        disconnected.addErrback(self.handle_disconnect)
         work = defer.ensureDeferred(self.run())
         work.addErrback(self.handle_error)
 
@@ -187,7 +187,7 @@
             ran = not isinstance(outcome, NotRun)
             self.state.asking.note_away_end(number, ran=ran)
             return outcome
-        self.refused_by_placement = True
+        self.refused_locally = True
         if isinstance(decision, Limited):
             self.log_rate_limit(decision)
             return NotRun(Reason.RATE_LIMIT, decision.retry_after)
@@ -203,7 +203,7 @@
         reason = self.crash_check.refusal()
         if reason is NOTHING:
             return NOTHING
-        self.refused_by_placement = True
+        self.refused_locally = True
         self.state.timeline.note(
             EventKind.NOT_RUN,
             request=self.id,
@@ -392,12 +392,15 @@
             ),
             self.state.clock,
             on_stream=self.open_stream,
-            on_first_data=self.relay_started,
+            on_first_data=self.record_relay_start,
         )
         outcome = await self.run_attempt(away.predicted)
-        answer = self.attempt.answer
-        if answer is not NOTHING and answer.head.server_id:
-            self.excluded.append(answer.head.server_id)
+        buffered_response = self.attempt.buffered_response
+        if (
+            buffered_response is not NOTHING
+            and buffered_response.head.server_id
+        ):
+            self.excluded.append(buffered_response.head.server_id)
         if isinstance(outcome, NotRun):
             self.avoid_region(away.region)
         if self.attempt.finding is Finding.UNREACHED:
@@ -412,7 +415,7 @@
         self.may_leave = not self.avoided
         self.avoided.append(region)
 
-    def relay_started(self):
+    def record_relay_start(self):
         """Record when a response from another region started."""
         if self.first_data_at is NOTHING:
             self.first_data_at = self.state.clock.seconds()
@@ -473,14 +476,16 @@
             )
         return outcome
 
-    def open_stream(self, answer, response):
+    def open_stream(self, buffered_response, response):
         """Start the caller's stream; return the function that takes events.
 
         A stream that is resumed at another server keeps the head of its first
         response.
         """
         if not self.sink.started:
-            self.sink.start(answer.status, answer.headers)
+            self.sink.start(
+                buffered_response.status, buffered_response.headers
+            )
         self.sink.pausing(response._transport)
         return self.forward_events
 
@@ -514,12 +519,12 @@
         if isinstance(outcome, Answered):
             if outcome.status < 500 or not self.may_retry():
                 return True
-            self.fallback_response = self.attempt.answer
+            self.fallback_response = self.attempt.buffered_response
             return False
         if outcome.reason in REFUSING_REASONS:
             return True
         if isinstance(outcome, NotRun):
-            return self.refused_by_placement
+            return self.refused_locally
         if outcome.reason in FINAL_REASONS:
             return True
         return not self.may_retry()
@@ -619,25 +624,29 @@
             self.sink.abort()
             return
         if self.fallback_response is not NOTHING:
-            self.deliver_whole(self.fallback_response)
+            self.deliver_buffered(self.fallback_response)
             return
         self.respond_failure(outcome)
 
     def deliver(self, outcome):
         """End a stream, or send a buffered response."""
-        if self.sink.started and self.attempt.answer is NOTHING:
+        if self.sink.started and self.attempt.buffered_response is NOTHING:
             self.sink.finish()
             self.log_end("answered", outcome.status)
         elif self.sink.started:
             self.log_end("cut: the server that resumed the stream failed")
             self.sink.abort()
         else:
-            self.deliver_whole(self.attempt.answer)
+            self.deliver_buffered(self.attempt.buffered_response)
 
-    def deliver_whole(self, answer):
+    def deliver_buffered(self, buffered_response):
         """Send a buffered response of a server."""
-        self.sink.whole(answer.status, answer.headers, answer.body)
-        self.log_end("answered", answer.status)
+        self.sink.whole(
+            buffered_response.status,
+            buffered_response.headers,
+            buffered_response.body,
+        )
+        self.log_end("answered", buffered_response.status)
 
     def log_end(self, how, status=0):
         """Log the end of the request."""
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -212,13 +212,13 @@
 
     def start(self):
         """Start processing; it ends with the response."""
-        gone = self.request.notifyFinish()
-        gone.addErrback(self.handle_disconnect)
+        disconnected = self.request.notifyFinish()
+        disconnected.addErrback(self.handle_disconnect)
         self.api.relayed.add(self)
         work = defer.ensureDeferred(self.run())
-        work.addBoth(self.ended)
+        work.addBoth(self.handle_end)
 
-    def ended(self, result):
+    def handle_end(self, result):
         """Remove the request; log an unexpected error."""
         self.api.relayed.discard(self)
         if hasattr(result, "getTraceback"):
@@ -341,9 +341,12 @@
         )
         return outcome
 
-    def open_stream(self, answer, response):
+    def open_stream(self, buffered_response, response):
         """Forward the head of a stream; return the function for events."""
-        self.sink.start(answer.status, self.relay_headers(answer.headers))
+        self.sink.start(
+            buffered_response.status,
+            self.relay_headers(buffered_response.headers),
+        )
         self.sink.pausing(response._transport)
         return self.sink.write
 
@@ -371,9 +374,11 @@
             else:
                 self.sink.abort()
         elif isinstance(outcome, Answered):
-            answer = self.attempt.answer
+            buffered_response = self.attempt.buffered_response
             self.sink.whole(
-                answer.status, self.relay_headers(answer.headers), answer.body
+                buffered_response.status,
+                self.relay_headers(buffered_response.headers),
+                buffered_response.body,
             )
         elif isinstance(outcome, Unknown):
             self.sink.abort()
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -80,7 +80,7 @@
         await self.hosts.until(known)
 
     @property
-    def ended(self):
+    def crashed(self):
         """Number of servers that have crashed."""
         return sum(not one.up for one in self.servers)
 
@@ -117,15 +117,15 @@
     Returns:
         How often it was sent to servers after the third crash.
     """
-    ended, sent = crashes.ended, NOTHING
+    crashed, sent = crashes.crashed, NOTHING
     for number in range(4 * REPEATS):
         await crashes.settled()
         host = ("h-north", "h-south")[number % 2]
         await send(host, path, number, CRASHING, **headers)
-        if sent is NOTHING and crashes.ended >= ended + 3:
+        if sent is NOTHING and crashes.crashed >= crashed + 3:
             sent = crashes.sent
         crashes.restart()
-    assert sent is not NOTHING, "three servers never ended"
+    assert sent is not NOTHING, "the request never crashed three servers"
     return crashes.sent - sent
 
 
@@ -199,7 +199,7 @@
         host = ("h-north", "h-south")[number % 2]
         source = f"127.0.0.{40 + number // 4}"
         await send(host, "/post/a", number, CRASHING, source=source)
-        if sent is NOTHING and crashes.ended >= 3:
+        if sent is NOTHING and crashes.crashed >= 3:
             sent = crashes.sent
         crashes.restart()
     assert_that(crashes.sent - sent, LessThan(MOST_RETRIES + 1))
@@ -214,7 +214,7 @@
         crashes.restart()
         if status == 503:
             return
-    raise AssertionError("never refused")
+    raise AssertionError("the request was never refused")
 
 
 @pytest_twisted.ensureDeferred
@@ -235,8 +235,8 @@
         assert_that(headers.getRawHeaders(b"retry-after"), Equals(None))
     assert_that(crashes.sent, Equals(sent))
     await hosts.until(lambda: evidence_of(hosts, "rh-south"))
-    ended = {one.name for one in crashes.servers if not one.up}
-    assert any(name in evidence_of(hosts, "rh-south") for name in ended)
+    crashed = {one.name for one in crashes.servers if not one.up}
+    assert any(name in evidence_of(hosts, "rh-south") for name in crashed)
     records = read_records(hosts.lines)
     mine = [one for one in records if one.request == "rh-south"]
     assert_that(cause_of(mine), Contains("servers ended under it"))
@@ -367,7 +367,7 @@
         await crashes.settled()
         await send("h-north", "/bound/a", number, CRASHING)
         crashes.restart()
-    assert_that(crashes.ended, LessThan(3 + MOST_RETRIES + 1))
+    assert_that(crashes.crashed, LessThan(3 + MOST_RETRIES + 1))
     await hosts.until(lambda: blocked_on_all_hosts(hosts))
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -347,10 +347,12 @@
     for process in hosts.processes.values():
         process.lines.flush()
     rows = [json.loads(line) for line in hosts.lines]
-    way = [row["event"] for row in rows if row.get("request") == "r1"]
+    logged_events = [
+        row["event"] for row in rows if row.get("request") == "r1"
+    ]
     for event in ("placed", "attempt_ended", "sent_away", "relayed"):
-        assert_that(way, Contains(event))
-    assert_that(way[-1:], Not(Equals([])))
+        assert_that(logged_events, Contains(event))
+    assert_that(logged_events[-1:], Not(Equals([])))
     ended = next(row for row in rows if row["event"] == "attempt_ended")
     assert_that(ended["reason"], Equals("refused_by_server"))
 
