--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -377,7 +377,7 @@
         if self.abandon_reason is not NOTHING:
             if self.was_silent:
                 self.finding = Finding.SILENT
-                # Its other idle connections may be unusable for the same reason.
+                # Its other idle connections may be unusable for this reason.
                 self.connections.close_idle(
                     self.endpoint.key, before=self.sent_at
                 )
