--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -3,9 +3,9 @@
 from entry_slopes import best
 from twisted.web.http_headers import Headers
 
-from hyssopspring.entry.crashsharing import row_of
+from hyssopspring.entry.crashsharing import suspect_row
 from hyssopspring.entry.endings import fingerprint_of
-from hyssopspring.entry.messages import Suspects, encode_message
+from hyssopspring.entry.messages import SuspectsMessage, encode_message
 from hyssopspring.traffic.crashes import Crashes, End, Suspect
 
 HOST = "front-dar-kariakoo-1"
@@ -38,7 +38,9 @@
     for number in range(ends):
         end = End(server(number), 0.0, HOST, CALLER)
         suspect.ends[end.server] = end
-    return len(encode_message(Suspects(HOST, [row_of(suspect, 9.0)])))
+    return len(
+        encode_message(SuspectsMessage(HOST, [suspect_row(suspect, 9.0)]))
+    )
 
 
 def main():
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -6,9 +6,9 @@
 from hyssopspring.entry.messages import (
     Heartbeat,
     OpenTicket,
+    RegionLoadMessage,
+    ServerCapacityRow,
     ServiceLoad,
-    Summary,
-    ToldRoom,
     decode_message,
     encode_message,
 )
@@ -71,10 +71,12 @@
         print(f"heartbeat, {tickets} requests: {len(data)} B, {spent:.1f} us")
     for services in (2, 10, 34):
         loads = {
-            f"s{n}": ServiceLoad(48, [ToldRoom([100, 150, 200], 50, 9000)] * 4)
+            f"s{n}": ServiceLoad(
+                48, [ServerCapacityRow([100, 150, 200], 50, 9000)] * 4
+            )
             for n in range(services)
         }
-        data = encode_message(Summary("dar", loads))
+        data = encode_message(RegionLoadMessage("dar", loads))
         spent = best(lambda data=data: decode_message(data), 500)
         print(f"summary, {services} services: {len(data)} B, {spent:.1f} us")
 
--- a/src/hyssopspring/entry/asking.py
+++ b/src/hyssopspring/entry/coordinator.py
@@ -11,43 +11,43 @@
 from ..traffic.evidence import Finding
 from ..traffic.servers import Usability
 from ..traffic.work import Demand
-from .limiting import LATELY
+from .limiting import RECENT_FALLBACK_SECONDS
 from .messages import (
-    AskMessage,
-    EndMessage,
-    GrantMessage,
-    LimitMessage,
+    AttemptEndedMessage,
+    AttemptStartedMessage,
     OpenTicket,
-    RefusalMessage,
-    StartMessage,
+    PlacementGrantMessage,
+    PlacementQueryMessage,
+    PlacementRefusalMessage,
+    WorkspaceLimitMessage,
 )
 
-__all__ = ["ANSWER_WITHIN", "Asking"]
+__all__ = ["ANSWER_TIMEOUT_SECONDS", "PlacementCoordinator"]
 
-ANSWER_WITHIN = 0.08
+ANSWER_TIMEOUT_SECONDS = 0.08
 """Seconds in which a placing host must answer; a round trip within the
 region takes 1 ms, the rest is for a busy processor."""
 
-ASKED_HOSTS = 2
+MAX_QUERIED_HOSTS = 2
 """Hosts that are asked one after the other before this one decides."""
 
-RANK_FOR = 0.1
+RANKING_CACHE_SECONDS = 0.1
 """Seconds for which the ranking of placing hosts is kept: to rank the hosts
 of a large region takes as long as to answer a question."""
 
-MOST_AT_ONCE = 4
+MAX_QUERIES_PER_TURN = 4
 """Questions that are answered before sockets are looked at again: 1 ms."""
 
-LATE_ANSWER = 3.0
+LATE_ANSWER_SECONDS = 3.0
 """Seconds for which an answer that came too late is still given back."""
 
-BRIEF_GRANT_LIFE = 0.25
+IMMEDIATE_GRANT_SECONDS = 0.25
 """Seconds for which a placement may be used that must be used at once. A
 host that was suspended in between would send what the count has forgotten."""
 
 
 @dataclass(slots=True, eq=False)
-class OpenAsk:
+class PendingQuery:
     """A question that waits for its answer.
 
     Attributes:
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class OpenWork:
+class OpenPlacement:
     """A request of this host in progress.
 
     Attributes:
@@ -82,19 +82,19 @@
     started: bool = False
 
 
-class Asking:
+class PlacementCoordinator:
     """Ask, answer asks of others, and keep who placed what current.
 
     Args:
         members: The `Members`.
         placer: This host's `Placer`.
         registry: The `Registry`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         boot_clock: Callable that returns the seconds of a clock that also
             counts while the host is suspended.
         timeline: The `Timeline`.
-        limiting: The `Limiting`.
+        limiter: The `WorkspaceLimiter`.
         rests: The `Rests` that servers asked this host for.
         guarded: Called with work whose unexpected failure is logged.
     """
@@ -108,7 +108,7 @@
         clock,
         boot_clock,
         timeline,
-        limiting,
+        limiter,
         rests,
         guarded=lambda work: work(),
     ):
@@ -119,19 +119,19 @@
         self.clock = clock
         self.boot_clock = boot_clock
         self.timeline = timeline
-        self.limiting = limiting
+        self.limiter = limiter
         self.rests = rests
         self.guarded = guarded
         self.number = 0
-        self.asks = {}
-        self.given_up = {}
-        self.work = {}
-        self.sent_away = {}
-        self.strayed_at = NOTHING
+        self.pending_queries = {}
+        self.expired_queries = {}
+        self.placements = {}
+        self.away_placers = {}
+        self.last_fallback_at = NOTHING
         self.ranked = []
         self.ranked_at = NOTHING
-        self.questions = deque()
-        self.left_out = 0
+        self.queries = deque()
+        self.queries_dropped = 0
 
     @property
     def host(self):
@@ -147,17 +147,17 @@
         self.number += 1
         number = self.number
         ask = replace(ask, host=self.host, number=number)
-        decision = await self.decision_for(number, self.without_resting(ask))
-        return number, self.until_first_back(ask, decision)
+        decision = await self.query_hosts(number, self.exclude_paused(ask))
+        return number, self.with_earliest_return(ask, decision)
 
-    def without_resting(self, ask):
+    def exclude_paused(self, ask):
         """Return an `Ask` that leaves out the servers at rest."""
-        resting = self.rests.closed(self.clock.seconds())
-        if not resting:
+        paused = self.rests.closed(self.clock.seconds())
+        if not paused:
             return ask
-        return replace(ask, excluded=(*ask.excluded, *resting))
+        return replace(ask, excluded=(*ask.excluded, *paused))
 
-    def until_first_back(self, ask, decision):
+    def with_earliest_return(self, ask, decision):
         """Return a refusal with the end of the first rest.
 
         A placing host does not know which servers this one leaves alone,
@@ -165,17 +165,17 @@
         """
         if not isinstance(decision, Refused) or decision.servers:
             return decision
-        rest = self.first_back(ask.service, ask.excluded)
-        if rest is NOTHING:
+        pause = self.earliest_pause_end(ask.service, ask.excluded)
+        if pause is NOTHING:
             return decision
         now = self.clock.seconds()
         return replace(
             decision,
-            retry_after=self.rests.wait(rest, now),
-            evidence=rest.evidence(now),
+            retry_after=self.rests.wait(pause, now),
+            evidence=pause.evidence(now),
         )
 
-    def first_back(self, service, excluded=()):
+    def earliest_pause_end(self, service, excluded=()):
         """Return the `Rest` that ends first if all servers rest.
 
         Args:
@@ -188,78 +188,85 @@
         """
         now = self.clock.seconds()
         region = self.members.own.region
-        found = self.registry.candidates(service, region, now)
-        known = [one.entry.id for one in found]
+        candidates = self.registry.candidates(service, region, now)
+        candidate_ids = [one.entry.id for one in candidates]
         ids = [
             one
-            for one in known
+            for one in candidate_ids
             if one not in excluded or self.rests.is_closed(one, now)
         ]
         return self.rests.first_back(ids, now)
 
-    def refused_retry_after(self, service, usual):
+    def retry_after_for_refused(self, service, default):
         """Return when a caller may come back whom a server turned away.
 
         Args:
             service: The service that it needs.
-            usual: Seconds if not all servers here rest.
+            default: Seconds if not all servers here rest.
         """
-        rest = self.first_back(service)
-        if rest is NOTHING:
-            return usual
-        return self.rests.wait(rest, self.clock.seconds())
+        pause = self.earliest_pause_end(service)
+        if pause is NOTHING:
+            return default
+        return self.rests.wait(pause, self.clock.seconds())
 
-    async def decision_for(self, number, ask):
+    async def query_hosts(self, number, ask):
         """Return the decision of the first host that answers, or the own."""
-        for turn, member in enumerate(self.placers()[:ASKED_HOSTS]):
+        for position, member in enumerate(self.placers()[:MAX_QUERIED_HOSTS]):
             if member is self.members.own:
-                return self.decide_here(ask, cold_allowed=True)
-            second = turn > 0
-            if second:
-                self.strayed_at = self.clock.seconds()
-            decision = await self.ask_other(member, ask, second=second)
+                return self.decide_locally(ask, cold_allowed=True)
+            is_fallback = position > 0
+            if is_fallback:
+                self.last_fallback_at = self.clock.seconds()
+            decision = await self.send_query(
+                member, ask, is_fallback=is_fallback
+            )
             if self.is_usable(decision):
-                self.keep(number, ask, decision, member.name)
+                self.track_placement(number, ask, decision, member.name)
                 return decision
             if isinstance(decision, Placed):
-                self.decline(number, decision.server_id, member)
-        ask = self.without_resting(ask)
-        return self.decide_here(ask, cold_allowed=False)
+                self.release_grant(number, decision.server_id, member)
+        ask = self.exclude_paused(ask)
+        return self.decide_locally(ask, cold_allowed=False)
 
     def placers(self):
         """Return the hosts that may place, the best first."""
         now = self.clock.seconds()
-        if self.ranked_at is NOTHING or now - self.ranked_at >= RANK_FOR:
+        if (
+            self.ranked_at is NOTHING
+            or now - self.ranked_at >= RANKING_CACHE_SECONDS
+        ):
             self.ranked = self.members.placers(now)
             self.ranked_at = now
         return self.ranked
 
-    def decide_here(self, ask, *, cold_allowed):
+    def decide_locally(self, ask, *, cold_allowed):
         """Decide by this host's own knowledge."""
         decision = self.decide(ask, cold_allowed=cold_allowed)
-        self.keep(ask.number, ask, decision, self.host)
+        self.track_placement(ask.number, ask, decision, self.host)
         return decision
 
     def decide(self, ask, *, cold_allowed):
         """Return this host's decision, within the limits that it counts."""
-        return self.limiting.decide(
+        return self.limiter.decide(
             ask,
             lambda: self.placer.place(
                 ask, self.clock.seconds(), cold_allowed=cold_allowed
             ),
         )
 
-    def keep(self, number, ask, decision, placer):
+    def track_placement(self, number, ask, decision, placer):
         """Remember a placed request until its end.
 
         One that is sent to another region is remembered if it takes from
         a limit, which is counted in this one.
         """
         if isinstance(decision, Placed):
-            self.work[number] = OpenWork(decision, ask.demand, placer)
+            self.placements[number] = OpenPlacement(
+                decision, ask.demand, placer
+            )
             self.rests.count(decision.server_id, self.clock.seconds())
         elif isinstance(decision, Away) and ask.cost:
-            self.sent_away[number] = placer
+            self.away_placers[number] = placer
 
     def is_usable(self, decision):
         """Whether a decision of another host may be used.
@@ -278,71 +285,82 @@
             return False
         return not self.rests.is_closed(decision.server_id, now)
 
-    def ask_other(self, member, ask, *, second=False):
+    def send_query(self, member, ask, *, is_fallback=False):
         """Ask another host; return a deferred of the decision.
 
         It is `NOTHING` if no answer came in time.
         """
         done = defer.Deferred()
-        waiting = OpenAsk(ask, member, done, self.boot_clock())
-        waiting.timer = self.clock.callLater(
-            ANSWER_WITHIN, self.give_up, ask.number
+        query = PendingQuery(ask, member, done, self.boot_clock())
+        query.timer = self.clock.callLater(
+            ANSWER_TIMEOUT_SECONDS, self.expire_query, ask.number
+        )
+        self.pending_queries[ask.number] = query
+        message = query_message(
+            ask,
+            is_fallback=is_fallback,
+            recent_fallback=self.has_recent_fallback,
         )
-        self.asks[ask.number] = waiting
-        message = ask_message(ask, second=second, strayed=self.strays)
         self.datagrams.send(message, member.control)
         return done
 
     @property
-    def strays(self):
+    def has_recent_fallback(self):
         """Whether the first host has left a question unanswered lately."""
-        if self.strayed_at is NOTHING:
+        if self.last_fallback_at is NOTHING:
             return False
-        return self.clock.seconds() - self.strayed_at < LATELY
+        return (
+            self.clock.seconds() - self.last_fallback_at
+            < RECENT_FALLBACK_SECONDS
+        )
 
-    def give_up(self, number):
+    def expire_query(self, number):
         """Go on without an answer."""
-        waiting = self.asks.pop(number, None)
-        if waiting is not None:
-            waiting.timer = NOTHING
-            self.given_up[number] = waiting.member
-            self.clock.callLater(LATE_ANSWER, self.given_up.pop, number, None)
-            waiting.done.callback(NOTHING)
-
-    def take_answer(self, message):
+        query = self.pending_queries.pop(number, None)
+        if query is not None:
+            query.timer = NOTHING
+            self.expired_queries[number] = query.member
+            self.clock.callLater(
+                LATE_ANSWER_SECONDS, self.expired_queries.pop, number, None
+            )
+            query.done.callback(NOTHING)
+
+    def handle_answer(self, message):
         """Take the answer of a placing host."""
-        waiting = self.asks.pop(message.number, None)
-        if waiting is None:
-            self.give_back(message)
+        query = self.pending_queries.pop(message.number, None)
+        if query is None:
+            self.release_late_grant(message)
             return
-        if waiting.timer is not NOTHING:
-            waiting.timer.cancel()
-        decision = decision_of(message)
-        age = self.boot_clock() - waiting.asked_at
+        if query.timer is not NOTHING:
+            query.timer.cancel()
+        decision = decision_from_message(message)
+        age = self.boot_clock() - query.asked_at
         at_once = isinstance(decision, Placed) and decision.at_once
-        if at_once and age > BRIEF_GRANT_LIFE:
+        if at_once and age > IMMEDIATE_GRANT_SECONDS:
             decision = NOTHING
-        waiting.done.callback(decision)
+        query.done.callback(decision)
 
-    def give_back(self, message):
+    def release_late_grant(self, message):
         """Give a placement back that came too late to be used.
 
         The host that made it counts the request at a server that never
         gets it. A busy host answers many late; without this its servers
         looked loaded by requests that others carried out elsewhere.
         """
-        member = self.given_up.pop(message.number, None)
-        if member is None or not isinstance(message, GrantMessage):
+        member = self.expired_queries.pop(message.number, None)
+        if member is None or not isinstance(message, PlacementGrantMessage):
             return
         if message.server_id or message.region:
-            self.decline(message.number, message.server_id, member)
+            self.release_grant(message.number, message.server_id, member)
 
-    def decline(self, number, server_id, member):
+    def release_grant(self, number, server_id, member):
         """Tell the host that placed a request that it is not sent."""
-        end = EndMessage(self.host, number, server_id, int(Finding.UNUSED))
+        end = AttemptEndedMessage(
+            self.host, number, server_id, int(Finding.UNUSED)
+        )
         self.datagrams.send(end, member.control)
 
-    def take_question(self, message, member):
+    def enqueue_query(self, message, member):
         """Queue the question of another host.
 
         The newest is answered first, and one that waited for too long not
@@ -350,77 +368,85 @@
         which they came, a placing host that cannot keep up answers all of
         them too late.
         """
-        if not self.questions:
-            self.clock.callLater(0, self.guarded, self.answer_some)
-        self.questions.append((self.clock.seconds(), message, member))
+        if not self.queries:
+            self.clock.callLater(0, self.guarded, self.answer_newest)
+        self.queries.append((self.clock.seconds(), message, member))
 
-    def answer_some(self):
+    def answer_newest(self):
         """Answer the newest questions, and leave out those too old."""
-        self.leave_out(self.clock.seconds() - ANSWER_WITHIN)
-        count = min(MOST_AT_ONCE, len(self.questions))
-        newest = [self.questions.pop() for _ in range(count)]
-        if self.questions:
-            self.clock.callLater(0, self.guarded, self.answer_some)
+        self.drop_stale_queries(self.clock.seconds() - ANSWER_TIMEOUT_SECONDS)
+        count = min(MAX_QUERIES_PER_TURN, len(self.queries))
+        newest = [self.queries.pop() for _ in range(count)]
+        if self.queries:
+            self.clock.callLater(0, self.guarded, self.answer_newest)
         for _, message, member in newest:
-            self.answer(message, member)
+            self.answer_query(message, member)
 
-    def leave_out(self, oldest):
+    def drop_stale_queries(self, oldest):
         """Drop the questions that came before the time *oldest*."""
-        left_out = 0
-        while self.questions and self.questions[0][0] < oldest:
-            self.questions.popleft()
-            left_out += 1
-        if left_out:
-            self.left_out += left_out
-            self.timeline.note(EventKind.UNANSWERED, questions=left_out)
-
-    def answer(self, message, member):
+        dropped = 0
+        while self.queries and self.queries[0][0] < oldest:
+            self.queries.popleft()
+            dropped += 1
+        if dropped:
+            self.queries_dropped += dropped
+            self.timeline.note(EventKind.UNANSWERED, questions=dropped)
+
+    def answer_query(self, message, member):
         """Place a request of another host and tell it."""
-        ask = ask_of(message)
-        first = self.placers()[0] is self.members.own
-        self.limiting.standing.note_asked(
-            message.host, second=message.second, strayed=message.strayed
+        ask = query_from_message(message)
+        is_first = self.placers()[0] is self.members.own
+        self.limiter.placement_share.note_asked(
+            message.host,
+            is_fallback=message.is_fallback,
+            recent_fallback=message.recent_fallback,
         )
-        decision = self.decide(ask, cold_allowed=first)
+        decision = self.decide(ask, cold_allowed=is_first)
         self.datagrams.send(
             answer_message(ask.number, decision), member.control
         )
 
     def note_start(self, number, seconds):
         """Tell that the first event of a request has come."""
-        work = self.work.get(number)
-        if work is None:
+        placement = self.placements.get(number)
+        if placement is None:
             return
-        work.started = True
+        placement.started = True
         self.placer.note_start(
             self.host, number, seconds, self.clock.seconds()
         )
-        self.tell(work.placer, StartMessage(self.host, number, seconds))
+        self.send_to_placer(
+            placement.placer, AttemptStartedMessage(self.host, number, seconds)
+        )
 
     def note_end(self, number, finding):
         """Tell that an attempt has ended, or that a placement is not used."""
         if finding is Finding.UNUSED:
             self.note_away_end(number, ran=False)
-        work = self.work.pop(number, None)
-        if work is None:
+        placement = self.placements.pop(number, None)
+        if placement is None:
             return
-        server_id = work.placed.server_id
-        self.take_end(self.host, number, server_id, finding)
-        message = EndMessage(self.host, number, server_id, int(finding))
-        self.tell(work.placer, message)
+        server_id = placement.placed.server_id
+        self.handle_end(self.host, number, server_id, finding)
+        message = AttemptEndedMessage(
+            self.host, number, server_id, int(finding)
+        )
+        self.send_to_placer(placement.placer, message)
 
     def note_away_end(self, number, *, ran):
         """Tell that an attempt in another region has ended."""
-        placer = self.sent_away.pop(number, "")
+        placer = self.away_placers.pop(number, "")
         if not placer or ran:
             return
-        self.limiting.note_end(self.host, number, Finding.UNUSED)
-        message = EndMessage(self.host, number, "", int(Finding.UNUSED))
-        self.tell(placer, message)
+        self.limiter.note_end(self.host, number, Finding.UNUSED)
+        message = AttemptEndedMessage(
+            self.host, number, "", int(Finding.UNUSED)
+        )
+        self.send_to_placer(placer, message)
 
-    def take_end(self, host, number, server_id, finding):
+    def handle_end(self, host, number, server_id, finding):
         """Take account of the end of an attempt of any host."""
-        self.limiting.note_end(host, number, finding)
+        self.limiter.note_end(host, number, finding)
         if not server_id:
             return
         suspected = self.placer.note_end(
@@ -434,7 +460,7 @@
                 told_by=host,
             )
 
-    def tell(self, name, message):
+    def send_to_placer(self, name, message):
         """Send *message* to the host that placed a request."""
         if name == self.host:
             return
@@ -444,35 +470,35 @@
 
     def placer_of(self, number):
         """Return the name of the host that placed a request."""
-        work = self.work.get(number)
-        return work.placer if work is not None else ""
+        placement = self.placements.get(number)
+        return placement.placer if placement is not None else ""
 
     def open_tickets(self):
         """Return an `OpenTicket` for each request in progress."""
         return [
             OpenTicket(
                 number,
-                work.placed.server_id,
-                0 if work.started else work.demand.tokens_in,
-                work.demand.tokens_in + work.demand.tokens_out,
-                work.demand.tokens_out,
-                work.placed.urgency,
-                work.started,
+                placement.placed.server_id,
+                0 if placement.started else placement.demand.tokens_in,
+                placement.demand.tokens_in + placement.demand.tokens_out,
+                placement.demand.tokens_out,
+                placement.placed.urgency,
+                placement.started,
             )
-            for number, work in self.work.items()
+            for number, placement in self.placements.items()
         ]
 
 
-def ask_message(ask, *, second=False, strayed=False):
+def query_message(ask, *, is_fallback=False, recent_fallback=False):
     """Return the message of an `Ask`.
 
     Args:
         ask: The `Ask`.
-        second: Whether the host that was asked first did not answer.
-        strayed: Whether that happened lately.
+        is_fallback: Whether the host that was asked first did not answer.
+        recent_fallback: Whether that happened lately.
     """
     demand = ask.demand
-    return AskMessage(
+    return PlacementQueryMessage(
         ask.host,
         ask.number,
         ask.service,
@@ -491,12 +517,12 @@
         ask.apart,
         ask.workspace,
         ask.cost,
-        second,
-        strayed,
+        is_fallback,
+        recent_fallback,
     )
 
 
-def ask_of(message):
+def query_from_message(message):
     """Return the `Ask` of a message."""
     return Ask(
         host=message.host,
@@ -525,7 +551,7 @@
 def answer_message(number, decision):
     """Return the message of a decision."""
     if isinstance(decision, Limited):
-        return LimitMessage(
+        return WorkspaceLimitMessage(
             number,
             decision.retry_after,
             decision.host,
@@ -534,7 +560,7 @@
             decision.demand,
         )
     if isinstance(decision, Refused):
-        return RefusalMessage(
+        return PlacementRefusalMessage(
             number,
             decision.retry_after,
             decision.predicted,
@@ -542,10 +568,10 @@
             decision.evidence,
         )
     if isinstance(decision, Away):
-        return GrantMessage(
+        return PlacementGrantMessage(
             number, "", "", 5, decision.predicted, False, decision.region, ""
         )
-    return GrantMessage(
+    return PlacementGrantMessage(
         number,
         decision.server_id,
         decision.address,
@@ -558,9 +584,9 @@
     )
 
 
-def decision_of(message):
+def decision_from_message(message):
     """Return the decision of a message."""
-    if isinstance(message, LimitMessage):
+    if isinstance(message, WorkspaceLimitMessage):
         return Limited(
             message.retry_after,
             message.host,
@@ -568,7 +594,7 @@
             message.level,
             message.demand,
         )
-    if isinstance(message, RefusalMessage):
+    if isinstance(message, PlacementRefusalMessage):
         return Refused(
             message.retry_after,
             message.predicted,
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -4,18 +4,18 @@
 from ..core.sentinels import NOTHING
 from ..traffic.crashes import End, Suspect
 from .digests import DigestComparison, millis
-from .messages import EndRow, SuspectRow, Suspects
+from .messages import ServerEndRow, SuspectRow, SuspectsMessage
 
-__all__ = ["CrashSharing", "row_of", "suspect_of"]
+__all__ = ["CrashSharing", "suspect_from_row", "suspect_row"]
 
-SUMMING_HOSTS = 3
+AGGREGATING_HOSTS = 3
 """Hosts of a region that hear of each first end: those that place, and that
 others report to. All others hear of a request from its second end on."""
 
-ROWS_AT_ONCE = 100
+MAX_ROWS_PER_DATAGRAM = 100
 """Requests in one datagram, at most 30 KB of them."""
 
-EXPIRE_EVERY = 5.0
+EXPIRE_INTERVAL_SECONDS = 5.0
 """Seconds between looks for what is too old; to look takes 2 ms at most."""
 
 
@@ -30,7 +30,7 @@
     Args:
         crashes: The `Crashes`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
         far_contacts: Called for the hosts of other regions to tell, none if
@@ -66,9 +66,9 @@
         if not self.crashes.note_end(fingerprint, end, now):
             return
         suspect = self.crashes.suspects[fingerprint]
-        self.tell([suspect], now)
+        self.announce([suspect], now)
         if peer_ip:
-            self.tell_ip([suspect], peer_ip, now)
+            self.announce_to_ip([suspect], peer_ip, now)
         if suspect.for_all:
             self.save(suspect)
 
@@ -76,7 +76,7 @@
         """Note that a request of a caller has run well on a server."""
         now = self.clock.seconds()
         if self.crashes.note_run(fingerprint, caller, now):
-            self.tell([self.crashes.suspects[fingerprint]], now)
+            self.announce([self.crashes.suspects[fingerprint]], now)
 
     def verdict(self, fingerprint, caller):
         """Return the `Verdict` on a request of a caller."""
@@ -97,11 +97,11 @@
         """Forget what is old, and block what has been found."""
         now = self.clock.seconds()
         if now >= self.expire_due:
-            self.expire_due = now + EXPIRE_EVERY
+            self.expire_due = now + EXPIRE_INTERVAL_SECONDS
             self.crashes.expire(now)
         for suspect in self.crashes.judge(now):
             self.note_blocked(suspect)
-            self.tell([suspect], now)
+            self.announce([suspect], now)
             self.save(suspect)
 
     def note_blocked(self, suspect):
@@ -112,7 +112,7 @@
             evidence=self.evidence(suspect.fingerprint),
         )
 
-    def tell(self, suspects, now, *, region=True):
+    def announce(self, suspects, now, *, region=True):
         """Send news on.
 
         Args:
@@ -127,16 +127,16 @@
         if any(one.for_all for one in suspects):
             name = self.members.own.region
             others = self.members.others.values()
-            near = [one for one in others if one.region == name]
+            in_region = [one for one in others if one.region == name]
         else:
-            near = [
+            in_region = [
                 one
-                for one in self.members.placers(now)[:SUMMING_HOSTS]
+                for one in self.members.placers(now)[:AGGREGATING_HOSTS]
                 if one is not self.members.own
             ]
-        self.datagrams.send_all(message, near)
+        self.datagrams.send_all(message, in_region)
 
-    def tell_ip(self, suspects, ip, now):
+    def announce_to_ip(self, suspects, ip, now):
         """Send news to the host with an address."""
         for member in self.members.others.values():
             if member.control.rpartition(":")[0] == ip:
@@ -146,30 +146,35 @@
 
     def message(self, suspects, now):
         """Return the message on *suspects*."""
-        return Suspects(
+        return SuspectsMessage(
             self.members.own.name,
-            [row_of(one, now) for one in suspects[:ROWS_AT_ONCE]],
+            [
+                suspect_row(one, now)
+                for one in suspects[:MAX_ROWS_PER_DATAGRAM]
+            ],
         )
 
-    def take(self, message):
+    def merge(self, message):
         """Take over what another host tells, and send on what is news."""
         now = self.clock.seconds()
-        news = []
+        changed = []
         for row in message.rows:
-            told = suspect_of(row, now)
-            if self.crashes.merge(told, now):
-                news.append(told.fingerprint)
+            received = suspect_from_row(row, now)
+            if self.crashes.merge(received, now):
+                changed.append(received.fingerprint)
         # One of them may have been forgotten for want of room by now.
         suspects = self.crashes.suspects
-        news = [suspects[one] for one in news if one in suspects]
-        if not news:
+        changed = [suspects[one] for one in changed if one in suspects]
+        if not changed:
             return
-        for suspect in news:
+        for suspect in changed:
             if suspect.blocked:
                 self.note_blocked(suspect)
         sender = self.members.others.get(message.host)
-        near = sender is not None and sender.region == self.members.own.region
-        self.tell(news, now, region=not near)
+        in_region = (
+            sender is not None and sender.region == self.members.own.region
+        )
+        self.announce(changed, now, region=not in_region)
 
     def compare(self, member, digest):
         """Tell a host all if it knows something else."""
@@ -181,12 +186,12 @@
             message = self.message(known, self.clock.seconds())
             self.datagrams.send(message, member.control)
 
-    def knows_any(self):
+    def has_suspects(self):
         """Whether any request is to be looked at at all."""
         return bool(self.crashes.suspects)
 
 
-def row_of(suspect, now):
+def suspect_row(suspect, now):
     """Return the `SuspectRow` of a `Suspect`, in ages."""
     cleared = -1
     if suspect.cleared_at is not NOTHING:
@@ -194,7 +199,9 @@
     return SuspectRow(
         suspect.fingerprint,
         [
-            EndRow(end.server, millis(now - end.at), end.host, end.caller)
+            ServerEndRow(
+                end.server, millis(now - end.at), end.host, end.caller
+            )
             for end in suspect.ends.values()
         ],
         suspect.blocked,
@@ -202,7 +209,7 @@
     )
 
 
-def suspect_of(row, now):
+def suspect_from_row(row, now):
     """Return the `Suspect` of a `SuspectRow`, in times of this host."""
     ends = {
         end.server: End(
--- a/src/hyssopspring/entry/crashstore.py
+++ b/src/hyssopspring/entry/crashstore.py
@@ -10,7 +10,7 @@
 from ..core.exceptions import KeyValueError, ProtocolError
 from ..stores.keyvalues import Applied
 from ..traffic.crashes import KEPT
-from .crashsharing import row_of, suspect_of
+from .crashsharing import suspect_from_row, suspect_row
 from .hostentries import OWN_PREFIX
 from .messages import SuspectRow
 
@@ -49,35 +49,35 @@
         spawn: Called with a coroutine to run.
     """
 
-    def __init__(self, store, crashes, clock, wall, timeline, spawn):
+    def __init__(self, store, crashes, clock, wall_clock, timeline, spawn):
         self.store = store
         self.crashes = crashes
         self.clock = clock
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.timeline = timeline
         self.spawn = spawn
-        self.unsaved = {}
+        self.pending = {}
         self.saving = False
 
     def save(self, suspect):
         """Write a request at once, and again until the store has it."""
-        self.unsaved[suspect.fingerprint] = suspect
+        self.pending[suspect.fingerprint] = suspect
         self.tick()
 
     def tick(self):
         """Write what the store does not have yet."""
-        if self.unsaved and not self.saving:
+        if self.pending and not self.saving:
             self.saving = True
             self.spawn(self.save_all())
 
     async def save_all(self):
         """Write each request that waits; stop where the store fails."""
         try:
-            while self.unsaved:
-                fingerprint = next(iter(self.unsaved))
-                suspect = self.unsaved.pop(fingerprint)
+            while self.pending:
+                fingerprint = next(iter(self.pending))
+                suspect = self.pending.pop(fingerprint)
                 if not await self.write(suspect):
-                    self.unsaved.setdefault(fingerprint, suspect)
+                    self.pending.setdefault(fingerprint, suspect)
                     return
         finally:
             self.saving = False
@@ -85,13 +85,15 @@
     async def write(self, suspect):
         """Write one request under a lease; return whether it stands."""
         now = self.clock.seconds()
-        left = KEPT - (now - suspect.newest)
-        if left < 1.0 or not suspect.ends:
+        remaining = KEPT - (now - suspect.newest)
+        if remaining < 1.0 or not suspect.ends:
             return True
         key = CRASHES_PREFIX + suspect.fingerprint
-        stored = StoredSuspect(int(self.wall() * 1000), row_of(suspect, now))
+        stored = StoredSuspect(
+            int(self.wall_clock() * 1000), suspect_row(suspect, now)
+        )
         try:
-            lease = await self.store.grant_lease(left)
+            lease = await self.store.grant_lease(remaining)
             result = await self.store.put(
                 key, msgspec.json.encode(stored), lease
             )
@@ -118,5 +120,5 @@
             stored = _DECODER.decode(entry.value)
         except (msgspec.DecodeError, UnicodeDecodeError) as problem:
             raise ProtocolError(f"{entry.key}: {problem}") from None
-        age = max(0.0, self.wall() - stored.written_ms / 1000)
-        self.crashes.merge(suspect_of(stored.row, now - age), now)
+        age = max(0.0, self.wall_clock() - stored.written_ms / 1000)
+        self.crashes.merge(suspect_from_row(stored.row, now - age), now)
--- a/src/hyssopspring/entry/datagrams.py
+++ b/src/hyssopspring/entry/datagrams.py
@@ -6,24 +6,24 @@
 from ..core.exceptions import ProtocolError
 from .messages import decode_message, encode_message
 
-__all__ = ["LONGEST", "Datagrams"]
+__all__ = ["MAX_DATAGRAM_BYTES", "DatagramEndpoint"]
 
-LONGEST = 60_000
+MAX_DATAGRAM_BYTES = 60_000
 """Bytes of the longest datagram that is sent or taken. The configuration
 of a large deployment fits; a larger one is read as a whole copy."""
 
 
-class Datagrams(protocol.DatagramProtocol):
+class DatagramEndpoint(protocol.DatagramProtocol):
     """Send and receive the messages of `messages`.
 
     Args:
-        received: Called with each message and its sender's IP address.
-        refused: Called with the reason when a datagram is no message.
+        on_message: Called with each message and its sender's IP address.
+        on_rejected: Called with the reason when a datagram is no message.
     """
 
-    def __init__(self, received, refused):
-        self.received = received
-        self.refused = refused
+    def __init__(self, on_message, on_rejected):
+        self.on_message = on_message
+        self.on_rejected = on_rejected
         self.sent = 0
         self.bytes_sent = 0
 
@@ -32,9 +32,9 @@
         try:
             message = decode_message(datagram)
         except ProtocolError as problem:
-            self.refused(str(problem))
+            self.on_rejected(str(problem))
             return
-        self.received(message, addr[0])
+        self.on_message(message, addr[0])
 
     def send(self, message, address):
         """Send *message* to ``ip:port``; it may be lost on its way."""
@@ -50,12 +50,12 @@
         """Send one datagram to ``ip:port``."""
         if self.transport is None:
             return
-        if len(data) > LONGEST:
-            self.refused(f"send to {address}: {len(data)} bytes")
+        if len(data) > MAX_DATAGRAM_BYTES:
+            self.on_rejected(f"send to {address}: {len(data)} bytes")
             return
         self.sent += 1
         self.bytes_sent += len(data)
         try:
             self.transport.write(data, split_address(address))
         except OSError as problem:
-            self.refused(f"send to {address}: {problem}")
+            self.on_rejected(f"send to {address}: {problem}")
--- a/src/hyssopspring/entry/endings.py
+++ b/src/hyssopspring/entry/endings.py
@@ -136,7 +136,7 @@
 
     def note_run(self, attempt, caller):
         """Note that a request ran well, if it is known at all."""
-        if self.sharing.knows_any() and ran_well(attempt):
+        if self.sharing.has_suspects() and ran_well(attempt):
             self.sharing.ran_well(fingerprint_at(attempt), caller)
 
     def note_ended(self, attempt, caller, predicted, sent_by):
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -171,18 +171,18 @@
             return refusal
         number, decision = await self.placed()
         if self.sink.gone or self.time_left < LEAST_TIME:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, Finding.UNUSED)
             return NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER)
         refusal = self.refused_for_crashes()
         if refusal is not NOTHING:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, Finding.UNUSED)
             return refusal
         if isinstance(decision, Placed):
             return await self.try_server(number, decision)
         if isinstance(decision, Away):
             outcome = await self.try_region(decision)
             ran = not isinstance(outcome, NotRun)
-            self.state.asking.note_away_end(number, ran=ran)
+            self.state.coordinator.note_away_end(number, ran=ran)
             return outcome
         self.refused = True
         if isinstance(decision, Limited):
@@ -214,7 +214,7 @@
     async def placed(self):
         """Return the number and the decision for the next attempt."""
         if self.placement is NOTHING:
-            return await self.state.asking.place(self.ask())
+            return await self.state.coordinator.place(self.ask())
         placement, self.placement = self.placement, NOTHING
         return placement
 
@@ -307,7 +307,7 @@
             predicted=round(placed.predicted, 3),
             urgency=placed.urgency,
             copy_from=placed.copy_from,
-            placed_by=self.state.asking.placer_of(number),
+            placed_by=self.state.coordinator.placer_of(number),
             **notice_details(placed),
         )
         headers = self.state.codec.server_headers(
@@ -328,10 +328,10 @@
             self.state.clock,
             opened=self.open_stream,
             started=lambda: self.started(number, began),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            heard=self.state.notices.head_handler(placed.server_id, self.id),
         )
         outcome = await self.carry(placed.predicted)
-        self.state.asking.note_end(number, self.attempt.finding)
+        self.state.coordinator.note_end(number, self.attempt.finding)
         await self.state.endings.examine(
             self.attempt, self.request.peer_ip, placed.predicted
         )
@@ -350,7 +350,7 @@
         now = self.state.clock.seconds()
         if self.first_at is NOTHING:
             self.first_at = now
-        self.state.asking.note_start(number, now - began)
+        self.state.coordinator.note_start(number, now - began)
 
     async def try_region(self, away):
         """Make an attempt through a host of another region.
@@ -560,7 +560,7 @@
         key = silent.lane.key
         ask = self.ask()
         ask = replace(ask, excluded=(*ask.excluded, key))
-        number, decision = await self.state.asking.place(ask)
+        number, decision = await self.state.coordinator.place(ask)
         self.moving = False
         found = isinstance(decision, Placed | Away)
         silent_still = self.attempt is silent and self.last_data == seen
@@ -568,7 +568,7 @@
             self.placement = (number, decision)
             silent.abandon(Reason.CONNECTION_LOST, silent=True)
         else:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, Finding.UNUSED)
 
     def silence_limit(self):
         """Return the seconds after which a server counts as silent."""
@@ -644,7 +644,7 @@
         if isinstance(outcome, NotRun) and self.runs == 0:
             retry_after = outcome.retry_after
             if outcome.reason is Reason.REFUSED:
-                retry_after = self.state.asking.refused_retry_after(
+                retry_after = self.state.coordinator.retry_after_for_refused(
                     self.service, retry_after
                 )
             headers = [(b"retry-after", b"%.3f" % retry_after)]
--- a/src/hyssopspring/entry/following.py
+++ b/src/hyssopspring/entry/following.py
@@ -356,7 +356,7 @@
         now = self.state.clock.seconds()
         fresh = self.state.registry.put(server, now)
         if fresh and known is not None:
-            self.state.asking.placer.forget_server(server.id, now)
+            self.state.coordinator.placer.forget_server(server.id, now)
             self.state.connections.forget(server.id)
         if fresh:
             self.note_server(EventKind.SERVER_ADDED, server)
--- a/src/hyssopspring/entry/hostentries.py
+++ b/src/hyssopspring/entry/hostentries.py
@@ -11,8 +11,8 @@
     "HostEntry",
     "decode_host",
     "encode_host",
-    "host_entry",
-    "member_of",
+    "entry_from_member",
+    "member_from_entry",
 ]
 
 OWN_PREFIX = "hyssop/"
@@ -56,10 +56,10 @@
         row = _HOST.decode(value)
     except msgspec.DecodeError as problem:
         raise ProtocolError(f"entry of a host: {problem}") from None
-    return member_of(row)
+    return member_from_entry(row)
 
 
-def member_of(row):
+def member_from_entry(row):
     """Return the `Member` that a `HostEntry` or a heartbeat describes."""
     return Member(
         name=row.host,
@@ -75,10 +75,10 @@
 
 def encode_host(member):
     """Return the bytes of a host's entry."""
-    return msgspec.json.encode(host_entry(member))
+    return msgspec.json.encode(entry_from_member(member))
 
 
-def host_entry(member):
+def entry_from_member(member):
     """Return the `HostEntry` of a `Member`."""
     return HostEntry(
         member.name,
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -5,39 +5,39 @@
 from ..traffic.decisions import Away, Limited, Placed
 from ..traffic.evidence import NOT_RUN
 from ..traffic.members import Report
-from .messages import Transfer, TransferAsk
+from .messages import TokenTransfer, TokenTransferRequest
 
-__all__ = ["TRANSFERS_EVERY", "Limiting", "Standing"]
+__all__ = ["TRANSFER_INTERVAL_SECONDS", "PlacementShare", "WorkspaceLimiter"]
 
-TRANSFERS_EVERY = 0.3
+TRANSFER_INTERVAL_SECONDS = 0.3
 """Seconds between two questions for tokens of other regions."""
 
-LATELY = 1.0
+RECENT_FALLBACK_SECONDS = 1.0
 """Seconds for which a host counts as one that not only asks the first."""
 
-FIRST_PART = 0.4
-SECOND_PART = 0.4
-ALONE_PART = 0.2
+FIRST_HOST_SHARE = 0.4
+SECOND_HOST_SHARE = 0.4
+LOCAL_SHARE = 0.2
 """Parts of a host that asks the first, the second and nobody in turn, as
 some of its questions are answered too late. They add up to 1."""
 
-FIRST_SILENCE = 0.75
+FIRST_HOST_SILENCE_SECONDS = 0.75
 """Seconds without a heartbeat after which the second counts for the first
 as well: the first speaks to it twice a second."""
 
-LEAST_RETRY = 0.1
-LONGEST_RETRY = 5.0
+MIN_RETRY_AFTER_SECONDS = 0.1
+MAX_RETRY_AFTER_SECONDS = 5.0
 """Bounds of the time after which to come back, in seconds."""
 
-WEIGHT_FOR = 0.1
+SHARE_CACHE_SECONDS = 0.1
 """Seconds for which the part of the region that counts here is kept."""
 
-RETRY_SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 """Part by which that time is drawn longer, so that callers who were refused
 together do not return together."""
 
 
-class Standing:
+class PlacementShare:
     """Which part of the region's hosts count on this one to place.
 
     Args:
@@ -48,26 +48,26 @@
     def __init__(self, members, clock):
         self.members = members
         self.clock = clock
-        self.asked_second = {}
-        self.strayed = {}
-        self.known_weight = 0.0
-        self.known_at = -WEIGHT_FOR
+        self.fallback_at = {}
+        self.recent_fallback_at = {}
+        self.cached_share = 0.0
+        self.cached_at = -SHARE_CACHE_SECONDS
 
-    def note_asked(self, host, *, second, strayed):
+    def note_asked(self, host, *, is_fallback, recent_fallback):
         """Note that another host has asked this one.
 
         Args:
             host: Its name.
-            second: Whether the host that was asked first did not answer.
-            strayed: Whether that happened to it lately.
+            is_fallback: Whether the host that was asked first did not answer.
+            recent_fallback: Whether that happened to it lately.
         """
         now = self.clock.seconds()
-        if second:
-            self.asked_second[host] = now
-        elif strayed:
-            self.strayed[host] = now
+        if is_fallback:
+            self.fallback_at[host] = now
+        elif recent_fallback:
+            self.recent_fallback_at[host] = now
 
-    def weight(self):
+    def share(self):
         """Return the part, from 0 to 1, this host included.
 
         The parts of hosts that place beside each other add up to 1 at
@@ -75,12 +75,12 @@
         host has begun to ask elsewhere they may not.
         """
         now = self.clock.seconds()
-        if now - self.known_at >= WEIGHT_FOR:
-            self.known_at = now
-            self.known_weight = self.find_weight(now)
-        return self.known_weight
+        if now - self.cached_at >= SHARE_CACHE_SECONDS:
+            self.cached_at = now
+            self.cached_share = self.compute_share(now)
+        return self.cached_share
 
-    def find_weight(self, now):
+    def compute_share(self, now):
         """Return the part as it is now."""
         own = self.members.own
         others = [
@@ -90,45 +90,47 @@
         ]
         first, *rest = self.members.placers(now)
         if first is own:
-            parts = [self.part_as_first(member, now) for member in others]
-            own_part = 1.0
+            shares = [
+                self.share_as_first_host(member, now) for member in others
+            ]
+            own_share = 1.0
         else:
-            silent = not first.heard_within(FIRST_SILENCE, now)
-            part = SECOND_PART + (FIRST_PART if silent else 0.0)
-            parts = [
-                part * was_lately(self.asked_second, member, now)
+            silent = not first.heard_within(FIRST_HOST_SILENCE_SECONDS, now)
+            share = SECOND_HOST_SHARE + (FIRST_HOST_SHARE if silent else 0.0)
+            shares = [
+                share * is_recent(self.fallback_at, member, now)
                 for member in others
             ]
-            own_part = SECOND_PART if rest[0] is own else ALONE_PART
-        return (own_part + sum(parts)) / (1 + len(others))
+            own_share = SECOND_HOST_SHARE if rest[0] is own else LOCAL_SHARE
+        return (own_share + sum(shares)) / (1 + len(others))
 
-    def part_as_first(self, member, now):
+    def share_as_first_host(self, member, now):
         """Return the part of a host that counts on this one as the first."""
         if member.wants is not Report.ROSTERS or not member.is_reporting(now):
             return 0.0
-        strays = was_lately(self.strayed, member, now)
-        return FIRST_PART if strays else 1.0
+        has_recent_fallback = is_recent(self.recent_fallback_at, member, now)
+        return FIRST_HOST_SHARE if has_recent_fallback else 1.0
 
 
-def was_lately(times, member, now):
+def is_recent(times, member, now):
     """Whether the time noted for a host is a short while ago."""
     at = times.get(member.name, NOTHING)
-    return at is not NOTHING and now - at < LATELY
+    return at is not NOTHING and now - at < RECENT_FALLBACK_SECONDS
 
 
-class Limiting:
+class WorkspaceLimiter:
     """Let requests pass within their limits, and share them among regions.
 
     Args:
         limits: The `TokenLimits`.
         keeper: The `ConfigurationKeeper`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: Callable that returns the seconds of a clock that also
             counts while the host is suspended.
         runtime: The runtime's clock, by which hosts are heard.
         rng: Random number generator.
-        standing: The `Standing`.
+        placement_share: The `PlacementShare`.
         far_hosts: Called for the hosts of other regions to ask.
     """
 
@@ -141,7 +143,7 @@
         clock,
         runtime,
         rng,
-        standing,
+        placement_share,
         far_hosts,
     ):
         self.limits = limits
@@ -151,10 +153,10 @@
         self.clock = clock
         self.runtime = runtime
         self.rng = rng
-        self.standing = standing
+        self.placement_share = placement_share
         self.far_hosts = far_hosts
         self.version = 0
-        self.by_id = {}
+        self.names_by_id = {}
 
     def limit_of(self, name):
         """Return the `TokenLimit` of a workspace, or `NOTHING`."""
@@ -178,18 +180,20 @@
             ask.workspace, limit, ask.cost, self.clock(), key
         )
         if shortage is not NOTHING:
-            return self.limited(shortage)
+            return self.limited_decision(shortage)
         decision = decide()
         if not isinstance(decision, Placed | Away):
             self.limits.give_back(key)
         return decision
 
-    def limited(self, shortage):
+    def limited_decision(self, shortage):
         """Return the `Limited` for a `Shortage`."""
-        spread = 1.0 + RETRY_SPREAD * self.rng.random()
+        spread = 1.0 + RETRY_AFTER_JITTER * self.rng.random()
         seconds = shortage.seconds * spread
         return Limited(
-            min(LONGEST_RETRY, max(LEAST_RETRY, seconds)),
+            min(
+                MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, seconds)
+            ),
             self.members.own.name,
             shortage.units,
             int(shortage.level),
@@ -214,61 +218,65 @@
         rows = []
         for workspace in self.keeper.current.workspaces.values():
             if workspace.limit is not NOTHING:
-                wish = self.limits.wish(workspace.name, workspace.limit, now)
-                if wish:
-                    rows.append((short_id(workspace.name), wish))
+                wanted = self.limits.wish(workspace.name, workspace.limit, now)
+                if wanted:
+                    rows.append((short_id(workspace.name), wanted))
         if not rows:
             return
-        question = TransferAsk(self.members.own.name, int(now * 1000), rows)
-        self.datagrams.send_all(question, self.givers())
+        request = TokenTransferRequest(
+            self.members.own.name, int(now * 1000), rows
+        )
+        self.datagrams.send_all(request, self.transfer_sources())
 
     def is_first(self):
         """Whether this host places for its region."""
         placers = self.members.placers(self.runtime.seconds())
         return placers[0] is self.members.own
 
-    def givers(self):
+    def transfer_sources(self):
         """Return the host to ask in each other region."""
         found = {}
         for member in self.far_hosts():
             found.setdefault(member.region, member)
         return list(found.values())
 
-    def names(self):
+    def workspace_names(self):
         """Return the workspaces by short name."""
         current = self.keeper.current
         if current and current.version != self.version:
             self.version = current.version
-            self.by_id = {short_id(name): name for name in current.workspaces}
-        return self.by_id
+            self.names_by_id = {
+                short_id(name): name for name in current.workspaces
+            }
+        return self.names_by_id
 
-    def take_question(self, message):
+    def handle_transfer_request(self, message):
         """Give what this region does not need, if this host places."""
         member = self.members.others.get(message.host)
         if member is None or not self.is_first():
             return
         now = self.clock()
         rows = []
-        for identifier, wish in message.rows:
-            name = self.names().get(identifier, "")
+        for identifier, wanted in message.rows:
+            name = self.workspace_names().get(identifier, "")
             limit = self.limit_of(name)
             if limit is NOTHING:
                 continue
             tokens = self.limits.transfer_out(
-                name, limit, member.name, wish, now
+                name, limit, member.name, wanted, now
             )
             if tokens:
                 rows.append((identifier, tokens))
         if rows:
             own = self.members.own.name
-            answer = Transfer(own, message.stamp, rows)
+            answer = TokenTransfer(own, message.stamp, rows)
             self.datagrams.send(answer, member.control)
 
-    def take_transfer(self, message):
+    def handle_transfer(self, message):
         """Use what another region gives."""
         now = self.clock()
         for identifier, tokens in message.rows:
-            name = self.names().get(identifier, "")
+            name = self.workspace_names().get(identifier, "")
             limit = self.limit_of(name)
             if limit is not NOTHING:
                 self.limits.transfer_in(
--- a/src/hyssopspring/entry/lines.py
+++ b/src/hyssopspring/entry/logwriter.py
@@ -6,22 +6,22 @@
 
 from ..core.events import EventKind
 
-__all__ = ["LineWriter"]
+__all__ = ["LogWriter"]
 
-LINES_A_SECOND = 150
+LINES_PER_SECOND = 150
 """Lines a second that are written; one busy host decides about 60 times a
 second, and twice as often while requests fail."""
 
-BURST = 300
+BURST_LINES = 300
 """Lines that may come at once after a quiet time."""
 
-ROUTINE_SHARE = 0.5
+ROUTINE_RESERVE = 0.5
 """Part of the burst that routine lines leave for refusals and errors."""
 
-MOST_WAITING = 2_000
+MAX_QUEUED_LINES = 2_000
 """Lines that wait for a reader that has stopped reading."""
 
-ROUTINE = frozenset(
+ROUTINE_EVENTS = frozenset(
     kind.number
     for kind in (
         EventKind.REQUEST,
@@ -34,7 +34,7 @@
 )
 
 
-class LineWriter:
+class LogWriter:
     """Write one JSON line for each event.
 
     A log that grows with the load would cost more than the requests that
@@ -50,17 +50,17 @@
     def __init__(self, clock, write):
         self.clock = clock
         self.write = write
-        self.waiting = deque()
-        self.saved = float(BURST)
-        self.at = clock.seconds()
-        self.left_out = 0
+        self.queued = deque()
+        self.tokens = float(BURST_LINES)
+        self.refilled_at = clock.seconds()
+        self.lines_dropped = 0
         self.encode = msgspec.json.encode
-        self.rest = b""
+        self.unwritten = b""
 
     def __call__(self, event):
         """Take one event."""
-        if not self.allowed(event.number in ROUTINE):
-            self.left_out += 1
+        if not self.take_token(event.number in ROUTINE_EVENTS):
+            self.lines_dropped += 1
             return
         line = {
             "ms": event.millis,
@@ -72,41 +72,41 @@
         if event.request:
             line["request"] = event.request
         line.update(event.details)
-        self.waiting.append(self.encode(line))
-        if len(self.waiting) > MOST_WAITING:
-            self.waiting.popleft()
-            self.left_out += 1
+        self.queued.append(self.encode(line))
+        if len(self.queued) > MAX_QUEUED_LINES:
+            self.queued.popleft()
+            self.lines_dropped += 1
 
-    def allowed(self, routine):
+    def take_token(self, routine):
         """Take one line from the rate; return whether there was one."""
         now = self.clock.seconds()
-        gained = (now - self.at) * LINES_A_SECOND
-        self.saved = min(float(BURST), self.saved + gained)
-        self.at = now
-        least = BURST * ROUTINE_SHARE if routine else 1.0
-        if self.saved < least:
+        gained = (now - self.refilled_at) * LINES_PER_SECOND
+        self.tokens = min(float(BURST_LINES), self.tokens + gained)
+        self.refilled_at = now
+        least = BURST_LINES * ROUTINE_RESERVE if routine else 1.0
+        if self.tokens < least:
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
 
     def flush(self):
         """Write what waits, as far as the reader takes it."""
-        if self.left_out:
-            left_out, self.left_out = self.left_out, 0
-            self.waiting.append(
-                self.encode({"event": "left_out", "lines": left_out})
+        if self.lines_dropped:
+            dropped, self.lines_dropped = self.lines_dropped, 0
+            self.queued.append(
+                self.encode({"event": "left_out", "lines": dropped})
             )
-        if not self.waiting and not self.rest:
+        if not self.queued and not self.unwritten:
             return
-        data = self.rest
-        if self.waiting:
-            data += b"\n".join(self.waiting) + b"\n"
-        self.waiting.clear()
+        data = self.unwritten
+        if self.queued:
+            data += b"\n".join(self.queued) + b"\n"
+        self.queued.clear()
         try:
             taken = self.write(data)
         except BlockingIOError:
             taken = 0
-        self.rest = data[taken:]
-        if len(self.rest) > MOST_WAITING * 300:
-            self.left_out += self.rest.count(b"\n")
-            self.rest = b"\n"
+        self.unwritten = data[taken:]
+        if len(self.unwritten) > MAX_QUEUED_LINES * 300:
+            self.lines_dropped += self.unwritten.count(b"\n")
+            self.unwritten = b"\n"
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -6,28 +6,28 @@
 from ..traffic.members import Report
 from ..traffic.regions import RegionLoad, Room
 from ..traffic.work import RANKS, Ticket
-from .hostentries import member_of
+from .hostentries import member_from_entry
 from .messages import (
-    AskMessage,
-    EndMessage,
-    GrantMessage,
+    AttemptEndedMessage,
+    AttemptStartedMessage,
     Heartbeat,
-    LimitMessage,
-    NoticeRows,
-    Records,
-    RecordsAsk,
-    RefusalMessage,
+    HostEntriesMessage,
+    HostEntriesRequest,
+    PlacementGrantMessage,
+    PlacementQueryMessage,
+    PlacementRefusalMessage,
+    RegionLoadMessage,
     Roster,
+    ServerCapacityRow,
+    ServerNoticesMessage,
     ServiceLoad,
-    StartMessage,
     StoreChange,
-    Summary,
-    Suspects,
-    ToldRoom,
-    Transfer,
-    TransferAsk,
-    ViewAnswer,
-    ViewAsk,
+    SuspectsMessage,
+    TokenTransfer,
+    TokenTransferRequest,
+    ViewRequest,
+    ViewResponse,
+    WorkspaceLimitMessage,
 )
 from .rosters import Rosters
 
@@ -79,23 +79,23 @@
 
     Args:
         members: The `Members`.
-        asking: The `Asking`.
+        coordinator: The `PlacementCoordinator`.
         placer: The `Placer`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
         changed: Called with a `Member` that has newer state than this
             host.
         store_changed: Called with a `StoreChange` of another host.
         sharing: The `CrashSharing`.
-        notices: The `Notices`.
+        notices: The `ServerNotices`.
         views: The `ViewChecking`.
     """
 
     def __init__(
         self,
         members,
-        asking,
+        coordinator,
         placer,
         datagrams,
         clock,
@@ -107,7 +107,7 @@
         views,
     ):
         self.members = members
-        self.asking = asking
+        self.coordinator = coordinator
         self.placer = placer
         self.datagrams = datagrams
         self.clock = clock
@@ -122,22 +122,22 @@
         self.handlers = {
             Heartbeat: self.take_heartbeat,
             Roster: self.take_roster,
-            RecordsAsk: self.rosters.tell_records,
-            Records: self.rosters.take_records,
-            AskMessage: self.take_ask,
-            GrantMessage: self.take_answer,
-            RefusalMessage: self.take_answer,
-            LimitMessage: self.take_answer,
-            TransferAsk: asking.limiting.take_question,
-            Transfer: asking.limiting.take_transfer,
-            StartMessage: self.take_start,
-            EndMessage: self.take_end,
-            Summary: self.take_summary,
+            HostEntriesRequest: self.rosters.tell_records,
+            HostEntriesMessage: self.rosters.take_records,
+            PlacementQueryMessage: self.take_ask,
+            PlacementGrantMessage: self.take_answer,
+            PlacementRefusalMessage: self.take_answer,
+            WorkspaceLimitMessage: self.take_answer,
+            TokenTransferRequest: coordinator.limiter.handle_transfer_request,
+            TokenTransfer: coordinator.limiter.handle_transfer,
+            AttemptStartedMessage: self.take_start,
+            AttemptEndedMessage: self.take_end,
+            RegionLoadMessage: self.take_summary,
             StoreChange: store_changed,
-            Suspects: sharing.take,
-            NoticeRows: notices.take,
-            ViewAsk: views.take_question,
-            ViewAnswer: views.take_answer,
+            SuspectsMessage: sharing.merge,
+            ServerNoticesMessage: notices.merge,
+            ViewRequest: views.take_question,
+            ViewResponse: views.take_answer,
         }
 
     def receive(self, message, ip):
@@ -182,7 +182,7 @@
 
         The first of them tells of all others.
         """
-        tickets = self.asking.open_tickets()
+        tickets = self.coordinator.open_tickets()
         reports = (
             (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
             (
@@ -325,7 +325,7 @@
     def summary(self):
         """Return this region's load as this host sees it."""
         loads = self.placer.summarize(self.clock.seconds())
-        return Summary(
+        return RegionLoadMessage(
             self.members.own.region,
             {service: told_load(load) for service, load in loads.items()},
         )
@@ -335,7 +335,7 @@
         now = self.clock.seconds()
         member = self.members.others.get(message.host)
         if member is None or message.incarnation != member.incarnation:
-            self.members.learn(member_of(message), spoke_at=now)
+            self.members.learn(member_from_entry(message), spoke_at=now)
             learned = self.members.others.get(message.host)
             if learned is not member:
                 member = learned
@@ -406,11 +406,11 @@
         """Place a request of another host."""
         member = self.members.others.get(message.host)
         if member is not None:
-            self.asking.take_question(message, member)
+            self.coordinator.enqueue_query(message, member)
 
     def take_answer(self, message):
         """Take the decision of a placing host."""
-        self.asking.take_answer(message)
+        self.coordinator.handle_answer(message)
 
     def take_start(self, message):
         """Note the first event of another host's request."""
@@ -423,7 +423,7 @@
 
     def take_end(self, message):
         """Note the end of another host's attempt."""
-        self.asking.take_end(
+        self.coordinator.handle_end(
             message.host,
             message.number,
             message.server_id,
@@ -446,7 +446,7 @@
 def told_load(load):
     """Return the `ServiceLoad` of a `RegionLoad`."""
     rooms = [
-        ToldRoom(
+        ServerCapacityRow(
             [round(wait * 1000) for wait in room.waits],
             round(room.used * 100),
             round(room.token_seconds * 1e6),
--- a/src/hyssopspring/entry/messages.py
+++ b/src/hyssopspring/entry/messages.py
@@ -11,38 +11,40 @@
 from .hostentries import HostEntry
 
 __all__ = [
-    "AskMessage",
-    "EndMessage",
-    "EndRow",
-    "GrantMessage",
+    "AttemptEndedMessage",
+    "AttemptStartedMessage",
     "Heartbeat",
+    "HostEntriesMessage",
+    "HostEntriesRequest",
     "LeavingRow",
-    "LimitMessage",
     "LimitRow",
-    "NoticeRows",
-    "Records",
-    "RecordsAsk",
-    "RefusalMessage",
+    "PlacementGrantMessage",
+    "PlacementQueryMessage",
+    "PlacementRefusalMessage",
+    "RegionLoadMessage",
     "RemovedItem",
     "Roster",
     "RosterRow",
-    "StartMessage",
+    "ServerCapacityRow",
+    "ServerEndRow",
+    "ServerNoticesMessage",
     "StoreChange",
     "StoredItem",
-    "Summary",
     "SuspectRow",
-    "Suspects",
-    "ToldRoom",
-    "Transfer",
-    "TransferAsk",
-    "ViewAnswer",
-    "ViewAsk",
+    "SuspectsMessage",
+    "TokenTransfer",
+    "TokenTransferRequest",
+    "ViewRequest",
+    "ViewResponse",
+    "WorkspaceLimitMessage",
     "decode_message",
     "encode_message",
 ]
 
 
-class AskMessage(msgspec.Struct, array_like=True, tag="a", frozen=True):
+class PlacementQueryMessage(
+    msgspec.Struct, array_like=True, tag="a", frozen=True
+):
     """Ask a host to place a request.
 
     Attributes:
@@ -66,8 +68,8 @@
         workspace: Name of the workspace whose limit it takes from, or an
             empty string.
         cost: Tokens that it takes from it.
-        second: Whether the host that was asked first did not answer.
-        strayed: Whether that happened to the sender lately.
+        is_fallback: Whether the host that was asked first did not answer.
+        recent_fallback: Whether that happened to the sender lately.
     """
 
     host: str
@@ -88,11 +90,13 @@
     apart: str = ""
     workspace: str = ""
     cost: int = 0
-    second: bool = False
-    strayed: bool = False
+    is_fallback: bool = False
+    recent_fallback: bool = False
 
 
-class GrantMessage(msgspec.Struct, array_like=True, tag="g", frozen=True):
+class PlacementGrantMessage(
+    msgspec.Struct, array_like=True, tag="g", frozen=True
+):
     """Answer an ask with a server or a region.
 
     Attributes:
@@ -119,7 +123,9 @@
     evidence: str = ""
 
 
-class RefusalMessage(msgspec.Struct, array_like=True, tag="r", frozen=True):
+class PlacementRefusalMessage(
+    msgspec.Struct, array_like=True, tag="r", frozen=True
+):
     """Answer an ask with a refusal.
 
     Attributes:
@@ -137,7 +143,9 @@
     evidence: str = ""
 
 
-class LimitMessage(msgspec.Struct, array_like=True, tag="t", frozen=True):
+class WorkspaceLimitMessage(
+    msgspec.Struct, array_like=True, tag="t", frozen=True
+):
     """Answer an ask: the workspace has reached its limit.
 
     Attributes:
@@ -157,7 +165,9 @@
     demand: int
 
 
-class TransferAsk(msgspec.Struct, array_like=True, tag="o", frozen=True):
+class TokenTransferRequest(
+    msgspec.Struct, array_like=True, tag="o", frozen=True
+):
     """Ask for tokens of limits that the other region does not need.
 
     Attributes:
@@ -171,7 +181,7 @@
     rows: list[tuple[int, int]]
 
 
-class Transfer(msgspec.Struct, array_like=True, tag="p", frozen=True):
+class TokenTransfer(msgspec.Struct, array_like=True, tag="p", frozen=True):
     """Hand tokens of limits over to another region.
 
     Attributes:
@@ -185,7 +195,9 @@
     rows: list[tuple[int, int]]
 
 
-class StartMessage(msgspec.Struct, array_like=True, tag="s", frozen=True):
+class AttemptStartedMessage(
+    msgspec.Struct, array_like=True, tag="s", frozen=True
+):
     """Tell the placing host that the first event has come.
 
     Attributes:
@@ -199,7 +211,9 @@
     seconds: float
 
 
-class EndMessage(msgspec.Struct, array_like=True, tag="e", frozen=True):
+class AttemptEndedMessage(
+    msgspec.Struct, array_like=True, tag="e", frozen=True
+):
     """Tell the placing host that an attempt has ended.
 
     Attributes:
@@ -308,7 +322,9 @@
     rows: list[RosterRow]
 
 
-class RecordsAsk(msgspec.Struct, array_like=True, tag="q", frozen=True):
+class HostEntriesRequest(
+    msgspec.Struct, array_like=True, tag="q", frozen=True
+):
     """Ask who the hosts of a roster are.
 
     Attributes:
@@ -320,7 +336,9 @@
     ids: list[int]
 
 
-class Records(msgspec.Struct, array_like=True, tag="w", frozen=True):
+class HostEntriesMessage(
+    msgspec.Struct, array_like=True, tag="w", frozen=True
+):
     """Tell who hosts are.
 
     Attributes:
@@ -330,7 +348,7 @@
     hosts: list[HostEntry]
 
 
-class ToldRoom(msgspec.Struct, array_like=True, frozen=True):
+class ServerCapacityRow(msgspec.Struct, array_like=True, frozen=True):
     """Room at one server.
 
     Attributes:
@@ -351,17 +369,17 @@
 
     Attributes:
         slots: Requests that one server runs at once.
-        rooms: `ToldRoom` of each server that takes requests, the best
+        rooms: `ServerCapacityRow` of each server that takes requests, the best
             first.
         read: Short names of parts of prompts that were read of late.
     """
 
     slots: int
-    rooms: list[ToldRoom]
+    rooms: list[ServerCapacityRow]
     read: list[int] = []
 
 
-class Summary(msgspec.Struct, array_like=True, tag="l", frozen=True):
+class RegionLoadMessage(msgspec.Struct, array_like=True, tag="l", frozen=True):
     """Load of a region, from the host that places there.
 
     Attributes:
@@ -419,7 +437,7 @@
     outage: bool
 
 
-class EndRow(msgspec.Struct, array_like=True, frozen=True):
+class ServerEndRow(msgspec.Struct, array_like=True, frozen=True):
     """A server that ended as a request began on it.
 
     Attributes:
@@ -440,18 +458,18 @@
 
     Attributes:
         fingerprint: What its repeats have in common.
-        ends: `EndRow` of each server.
+        ends: `ServerEndRow` of each server.
         blocked: Whether it is held to be the cause.
         cleared_age_ms: Milliseconds since it ran well, or -1.
     """
 
     fingerprint: str
-    ends: list[EndRow]
+    ends: list[ServerEndRow]
     blocked: bool = False
     cleared_age_ms: int = -1
 
 
-class Suspects(msgspec.Struct, array_like=True, tag="x", frozen=True):
+class SuspectsMessage(msgspec.Struct, array_like=True, tag="x", frozen=True):
     """Tell of requests under which servers ended.
 
     Attributes:
@@ -504,7 +522,9 @@
     request: str
 
 
-class NoticeRows(msgspec.Struct, array_like=True, tag="n", frozen=True):
+class ServerNoticesMessage(
+    msgspec.Struct, array_like=True, tag="n", frozen=True
+):
     """Tell what servers of the region say of themselves.
 
     Attributes:
@@ -518,7 +538,7 @@
     leaving: list[LeavingRow] = []
 
 
-class ViewAsk(msgspec.Struct, array_like=True, tag="v", frozen=True):
+class ViewRequest(msgspec.Struct, array_like=True, tag="v", frozen=True):
     """Ask how surely a host's configuration is the newest.
 
     Attributes:
@@ -530,7 +550,7 @@
     stamp: int
 
 
-class ViewAnswer(msgspec.Struct, array_like=True, tag="y", frozen=True):
+class ViewResponse(msgspec.Struct, array_like=True, tag="y", frozen=True):
     """Tell how surely the sender's configuration is the newest.
 
     Attributes:
@@ -545,24 +565,24 @@
 
 
 Message = (
-    AskMessage
-    | GrantMessage
-    | RefusalMessage
-    | LimitMessage
-    | StartMessage
-    | EndMessage
+    PlacementQueryMessage
+    | PlacementGrantMessage
+    | PlacementRefusalMessage
+    | WorkspaceLimitMessage
+    | AttemptStartedMessage
+    | AttemptEndedMessage
     | Heartbeat
     | Roster
-    | RecordsAsk
-    | Records
-    | Summary
+    | HostEntriesRequest
+    | HostEntriesMessage
+    | RegionLoadMessage
     | StoreChange
-    | Suspects
-    | NoticeRows
-    | Transfer
-    | TransferAsk
-    | ViewAsk
-    | ViewAnswer
+    | SuspectsMessage
+    | ServerNoticesMessage
+    | TokenTransfer
+    | TokenTransferRequest
+    | ViewRequest
+    | ViewResponse
 )
 
 _ENCODER = msgspec.msgpack.Encoder()
--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -6,29 +6,29 @@
 from ..traffic.serverlimits import UNLIMITED, LimitNotice
 from ..traffic.servers import LeavingNotice
 from .digests import DigestComparison, millis
-from .messages import LeavingRow, LimitRow, NoticeRows
+from .messages import LeavingRow, LimitRow, ServerNoticesMessage
 
-__all__ = ["Notices", "notice_details"]
+__all__ = ["ServerNotices", "notice_details"]
 
-IGNORED_EVERY = 10.0
+IGNORED_LOG_INTERVAL_SECONDS = 10.0
 """Seconds between two lines on unusable statements of one server."""
 
-TELL_ALL_EVERY = 0.5
+BROADCAST_INTERVAL_SECONDS = 0.5
 """Seconds between two messages to all hosts of the region on one server. A
 server may name another limit in each answer; who places hears of each."""
 
-PLACING_HOSTS = 2
+PLACING_HOST_COUNT = 2
 """Hosts of the region that hear of each change at once: the one that
 places, and the one that would take over."""
 
-ROWS_AT_ONCE = 100
+MAX_ROWS_PER_DATAGRAM = 100
 """Servers in one datagram, about 10 KB of them."""
 
-NO_LIMIT_TOLD = -1.0
+NO_LIMIT_ROW_VALUE = -1.0
 """Limit in a row that says that a limit has ended."""
 
 
-class Notices:
+class ServerNotices:
     """Take what servers say, and tell the hosts of the region.
 
     A server takes requests from its own region only, so nobody else needs
@@ -40,7 +40,7 @@
         rests: The `Rests`.
         registry: The `Registry`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         connections: The `Connections`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
@@ -57,7 +57,7 @@
         connections,
         clock,
         timeline,
-        spread,
+        broadcast,
     ):
         self.limits = limits
         self.rests = rests
@@ -67,17 +67,17 @@
         self.connections = connections
         self.clock = clock
         self.timeline = timeline
-        self.spread = spread
+        self.broadcast = broadcast
         self.comparison = DigestComparison(clock)
-        self.ignored = {}
-        self.told_all = {}
+        self.ignored_at = {}
+        self.broadcast_at = {}
 
     @property
     def digest(self):
         """Digest of what servers are known to say."""
         return self.limits.digest ^ self.registry.left_digest
 
-    def listener(self, server_id, request):
+    def head_handler(self, server_id, request):
         """Return what takes the `Head` of an answer to a request.
 
         An answer of a start of the server that is over by then is dropped.
@@ -88,24 +88,24 @@
         """
         start = self.registry.start_of(server_id)
 
-        def hear(head):
+        def pass_head(head):
             if self.registry.start_of(server_id) == start:
-                self.hear(server_id, start, request, head)
+                self.handle_head(server_id, start, request, head)
 
-        return hear
+        return pass_head
 
-    def hear(self, server_id, start, request, head):
+    def handle_head(self, server_id, start, request, head):
         """Take what the answer to a request says."""
         if head.leaving and server_id in self.registry.servers:
-            self.hear_leaving(server_id, start, request, head)
+            self.handle_leaving(server_id, start, request, head)
         if head.turned_away:
-            self.hear_rest(server_id, request, head.retry_after)
-        self.hear_limit(server_id, start, request, head)
+            self.handle_pause(server_id, request, head.retry_after)
+        self.handle_limit(server_id, start, request, head)
 
-    def hear_rest(self, server_id, request, seconds):
+    def handle_pause(self, server_id, request, seconds):
         """Leave a server alone for as long as it asks for."""
         if seconds is INVALID:
-            self.ignore(server_id, request, "rest")
+            self.log_ignored(server_id, request, "rest")
             return
         now = self.clock.seconds()
         if seconds and self.rests.note(server_id, request, seconds, now):
@@ -116,10 +116,10 @@
                 answer_to=request,
             )
 
-    def hear_leaving(self, server_id, start, request, head):
+    def handle_leaving(self, server_id, start, request, head):
         """Use a server no more that says that it leaves."""
         if head.leaving is INVALID:
-            self.ignore(server_id, request, "leaving")
+            self.log_ignored(server_id, request, "leaving")
             return
         now = self.clock.seconds()
         notice = LeavingNotice(
@@ -132,7 +132,7 @@
         )
         if self.registry.note_leaving(notice, now):
             self.note_leaving(notice, now)
-            self.spread(self.message([], [notice], now))
+            self.broadcast(self.message([], [notice], now))
 
     def note_leaving(self, notice, now):
         """Put a server that leaves on the time line; drop its connections."""
@@ -145,10 +145,10 @@
             age=round(now - notice.at, 3),
         )
 
-    def hear_limit(self, server_id, start, request, head):
+    def handle_limit(self, server_id, start, request, head):
         """Take the limit that an answer names, or its end."""
         if head.limit is INVALID:
-            self.ignore(server_id, request, "limit")
+            self.log_ignored(server_id, request, "limit")
             return
         unknown = server_id not in self.limits.named
         # A server that is full may refuse without a word on limits.
@@ -165,7 +165,7 @@
         )
         if self.limits.hear(notice, now):
             self.note_limit(notice, now)
-            self.tell(notice, now)
+            self.announce(notice, now)
 
     def note_limit(self, notice, now):
         """Put a limit that is new to this host on the time line."""
@@ -179,12 +179,15 @@
             age=round(now - notice.at, 3),
         )
 
-    def ignore(self, server_id, request, what):
+    def log_ignored(self, server_id, request, what):
         """Put an unusable statement on the time line, now and then."""
         now = self.clock.seconds()
-        if now - self.ignored.get(server_id, -IGNORED_EVERY) < IGNORED_EVERY:
+        if (
+            now - self.ignored_at.get(server_id, -IGNORED_LOG_INTERVAL_SECONDS)
+            < IGNORED_LOG_INTERVAL_SECONDS
+        ):
             return
-        self.ignored[server_id] = now
+        self.ignored_at[server_id] = now
         self.timeline.note(
             EventKind.NOTICE_IGNORED,
             server=server_id,
@@ -192,16 +195,18 @@
             answer_to=request,
         )
 
-    def tell(self, notice, now):
+    def announce(self, notice, now):
         """Tell the hosts of the region of a limit heard here."""
         message = self.message([notice], [], now)
-        told = self.told_all.get(notice.server_id, -TELL_ALL_EVERY)
-        if now - told >= TELL_ALL_EVERY:
-            self.told_all[notice.server_id] = now
-            self.spread(message)
+        last_broadcast = self.broadcast_at.get(
+            notice.server_id, -BROADCAST_INTERVAL_SECONDS
+        )
+        if now - last_broadcast >= BROADCAST_INTERVAL_SECONDS:
+            self.broadcast_at[notice.server_id] = now
+            self.broadcast(message)
             return
         own = self.members.own
-        first = self.members.placers(now)[:PLACING_HOSTS]
+        first = self.members.placers(now)[:PLACING_HOST_COUNT]
         self.datagrams.send_all(
             message, [one for one in first if one is not own]
         )
@@ -214,25 +219,25 @@
             leaving: Each `LeavingNotice`.
             now: The time.
         """
-        return NoticeRows(
+        return ServerNoticesMessage(
             self.members.own.name,
-            [limit_row(one, now) for one in limits[:ROWS_AT_ONCE]],
-            [leaving_row(one, now) for one in leaving[:ROWS_AT_ONCE]],
+            [limit_row(one, now) for one in limits[:MAX_ROWS_PER_DATAGRAM]],
+            [leaving_row(one, now) for one in leaving[:MAX_ROWS_PER_DATAGRAM]],
         )
 
-    def take(self, message):
+    def merge(self, message):
         """Take over what another host tells."""
         now = self.clock.seconds()
-        for row in filter(self.concerns, message.limits):
-            notice = limit_of(row, now)
+        for row in filter(self.is_applicable, message.limits):
+            notice = limit_from_row(row, now)
             if self.limits.hear(notice, now):
                 self.note_limit(notice, now)
         for row in message.leaving:
-            notice = leaving_of(row, now)
+            notice = leaving_from_row(row, now)
             if self.registry.note_leaving(notice, now):
                 self.note_leaving(notice, now)
 
-    def concerns(self, row):
+    def is_applicable(self, row):
         """Whether a row is on a start of a server that may be used here.
 
         Word of a server may come before its entry does.
@@ -259,7 +264,7 @@
         self.registry.forget_left(now)
         self.limits.expire(now)
         known = self.registry.servers
-        for table in (self.ignored, self.told_all):
+        for table in (self.ignored_at, self.broadcast_at):
             for server_id in [one for one in table if one not in known]:
                 del table[server_id]
         self.limits.forget_unknown(known, now)
@@ -271,7 +276,7 @@
     return LimitRow(
         notice.server_id,
         notice.start,
-        NO_LIMIT_TOLD if ended else notice.limit,
+        NO_LIMIT_ROW_VALUE if ended else notice.limit,
         millis(now - notice.at),
         notice.host,
         notice.request,
@@ -290,7 +295,7 @@
     )
 
 
-def leaving_of(row, now):
+def leaving_from_row(row, now):
     """Return the `LeavingNotice` of a row, in times of this host."""
     return LeavingNotice(
         server_id=row.server_id,
@@ -302,7 +307,7 @@
     )
 
 
-def limit_of(row, now):
+def limit_from_row(row, now):
     """Return the `LimitNotice` of a row, in times of this host."""
     return LimitNotice(
         server_id=row.server_id,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -28,21 +28,25 @@
 from ..traffic.routes import ConfigurationKeeper, RequestLimits, Service
 from ..traffic.serverlimits import ServerLimits
 from ..traffic.servers import Registry
-from .asking import Asking
 from .callers import FINISH_MARGIN, SERVE_ON, CallerApi
 from .connections import Connections
+from .coordinator import PlacementCoordinator
 from .crashsharing import CrashSharing
 from .crashstore import CrashStore
-from .datagrams import LONGEST, Datagrams
+from .datagrams import MAX_DATAGRAM_BYTES, DatagramEndpoint
 from .endings import Endings
 from .farhosts import FarHosts
 from .following import Following
-from .limiting import TRANSFERS_EVERY, Limiting, Standing
-from .lines import LineWriter
-from .measures import Measures
+from .limiting import (
+    TRANSFER_INTERVAL_SECONDS,
+    PlacementShare,
+    WorkspaceLimiter,
+)
+from .logwriter import LogWriter
 from .membership import HEARTBEAT_EVERY, SUMMARY_EVERY, Membership
 from .mirrors import Contact
-from .notices import Notices
+from .notices import ServerNotices
+from .prometheus import PrometheusMetrics
 from .provenance import Provenance
 from .relaying import RelayApi
 from .state import EntryState
@@ -100,12 +104,12 @@
         self.rng = rng
         self.wall = wall
         self.began = reactor.seconds()
-        self.lines = LineWriter(reactor, write)
-        self.measures = Measures(self.gauges)
+        self.log_writer = LogWriter(reactor, write)
+        self.metrics = PrometheusMetrics(self.gauges)
         self.timeline = Timeline(
             settings.host,
             HybridClock(wall),
-            listeners=[self.lines, self.measures],
+            listeners=[self.log_writer, self.metrics],
         )
         self.metrics_port = metrics_port
         self.ports = []
@@ -121,9 +125,9 @@
         self.registry = Registry(settings.regions)
         self.crashes = Crashes()
         self.members = Members(own_member(settings, int(wall() * 1000)))
-        standing = Standing(self.members, self.reactor)
+        placement_share = PlacementShare(self.members, self.reactor)
         self.rests = Rests(self.registry, self.rng)
-        self.server_limits = ServerLimits(standing.weight, self.rng)
+        self.server_limits = ServerLimits(placement_share.share, self.rng)
         self.placer = Placer(
             settings.region,
             self.registry,
@@ -135,13 +139,13 @@
             started_at=self.began,
             off=settings.off,
         )
-        self.datagrams = Datagrams(
+        self.datagrams = DatagramEndpoint(
             lambda message, ip: self.guarded(
                 lambda: self.membership.receive(message, ip)
             ),
             lambda why: self.timeline.note(EventKind.PEER_REFUSED, why=why),
         )
-        self.limiting = Limiting(
+        self.limiter = WorkspaceLimiter(
             TokenLimits(
                 len(set(settings.regions.values())),
                 Allowance(
@@ -149,7 +153,7 @@
                     settings.limit_slack,
                     settings.limit_window,
                 ),
-                standing.weight,
+                placement_share.share,
             ),
             self.keeper,
             self.members,
@@ -157,10 +161,10 @@
             boot_clock,
             self.reactor,
             self.rng,
-            standing,
+            placement_share,
             lambda: self.membership.far_contacts,
         )
-        self.asking = Asking(
+        self.coordinator = PlacementCoordinator(
             self.members,
             self.placer,
             self.registry,
@@ -168,7 +172,7 @@
             self.reactor,
             boot_clock,
             self.timeline,
-            self.limiting,
+            self.limiter,
             self.rests,
             self.guarded,
         )
@@ -193,7 +197,7 @@
             keeper=self.keeper,
             registry=self.registry,
             members=self.members,
-            asking=self.asking,
+            coordinator=self.coordinator,
             connections=connections,
             far_hosts=FarHosts(
                 self.members, connections, self.reactor, self.rng
@@ -214,7 +218,7 @@
                 sharing,
             ),
             sharing=sharing,
-            notices=Notices(
+            notices=ServerNotices(
                 self.server_limits,
                 self.rests,
                 self.registry,
@@ -265,7 +269,7 @@
         )
         self.membership = Membership(
             self.members,
-            self.asking,
+            self.coordinator,
             self.placer,
             self.datagrams,
             self.reactor,
@@ -314,19 +318,22 @@
             self.listen(settings.control, self.relay.handle)
         if self.metrics_port:
             address = f"{settings.address}:{self.metrics_port}"
-            self.listen(address, self.measures.handle)
+            self.listen(address, self.metrics.handle)
         ip, port = split_address(own.control)
         self.ports.append(
             self.reactor.listenUDP(
-                port, self.datagrams, interface=ip, maxPacketSize=LONGEST
+                port,
+                self.datagrams,
+                interface=ip,
+                maxPacketSize=MAX_DATAGRAM_BYTES,
             )
         )
         self.following.start()
         self.repeat(HEARTBEAT_EVERY, self.beat)
         self.repeat(SUMMARY_EVERY, self.membership.summarize)
-        self.repeat(TRANSFERS_EVERY, self.limiting.tick)
+        self.repeat(TRANSFER_INTERVAL_SECONDS, self.limiter.tick)
         self.repeat(CHECK_EVERY, self.callers.check)
-        self.repeat(FLUSH_EVERY, self.lines.flush)
+        self.repeat(FLUSH_EVERY, self.log_writer.flush)
         self.timeline.note(
             EventKind.STARTED,
             incarnation=own.incarnation,
@@ -386,7 +393,7 @@
         return {
             "requests_in_progress": len(self.callers.exchanges),
             "relayed_in_progress": len(self.relay.relayed),
-            "questions_left_out_total": self.asking.left_out,
+            "questions_left_out_total": self.coordinator.queries_dropped,
             "requests_suspected": len(self.crashes.suspects),
             "servers_leaving_by_answer": self.registry.leaving_by_answer(),
             "servers_at_rest": self.rests.at_rest(now),
@@ -402,7 +409,7 @@
             "connections_opened_total": self.state.connections.opened,
             "connections_unopened_total": self.state.connections.unopened,
             "datagram_bytes_sent_total": self.datagrams.bytes_sent,
-            "log_lines_left_out": self.lines.left_out,
+            "log_lines_left_out": self.log_writer.lines_dropped,
         }
 
     def is_ready(self):
@@ -474,7 +481,7 @@
         self.timeline.note(
             EventKind.STOPPED, active=len(self.callers.exchanges)
         )
-        self.lines.flush()
+        self.log_writer.flush()
 
     def busy(self):
         """Whether something is in progress, or nobody could take over."""
--- a/src/hyssopspring/entry/measures.py
+++ b/src/hyssopspring/entry/prometheus.py
@@ -10,9 +10,22 @@
 from ..core.events import EventKind
 from ..core.exceptions import ensure
 
-__all__ = ["Histogram", "Measures"]
-
-BOUNDS = (0.01, 0.03, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
+__all__ = ["Histogram", "PrometheusMetrics"]
+
+BUCKET_BOUNDS_SECONDS = (
+    0.01,
+    0.03,
+    0.1,
+    0.2,
+    0.4,
+    0.6,
+    0.8,
+    1.0,
+    1.5,
+    2.5,
+    5.0,
+    10.0,
+)
 """Upper bounds of the histograms in seconds; the objectives of the first
 users lie at 0.5, 0.6, 0.8 and 1.0."""
 
@@ -23,25 +36,27 @@
     """Count durations by their size."""
 
     def __init__(self):
-        self.counts = [0] * (len(BOUNDS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
         self.total = 0.0
 
     def add(self, seconds):
         """Count one duration."""
-        self.counts[bisect_left(BOUNDS, seconds)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
     def lines(self, name):
         """Yield the lines of the text form."""
         running = 0
-        for bound, count in zip((*BOUNDS, "+Inf"), self.counts, strict=True):
+        for bound, count in zip(
+            (*BUCKET_BOUNDS_SECONDS, "+Inf"), self.counts, strict=True
+        ):
             running += count
             yield f'{name}_bucket{{le="{bound}"}} {running}'
         yield f"{name}_sum {self.total:.6f}"
         yield f"{name}_count {running}"
 
 
-class Measures:
+class PrometheusMetrics:
     """Count the events of a time line, and the times that they tell.
 
     Args:
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -239,7 +239,7 @@
             return
         if self.refuse_for_crashes():
             return
-        number, decision = await self.state.asking.place(self.ask(facts))
+        number, decision = await self.state.coordinator.place(self.ask(facts))
         if not isinstance(decision, Placed):
             outcome = NotRun(Reason.OVERLOADED, decision.retry_after)
             details = notice_details(decision)
@@ -253,11 +253,11 @@
             urgency=decision.urgency,
             copy_from=decision.copy_from,
             peer=self.request.peer_ip,
-            placed_by=self.state.asking.placer_of(number),
+            placed_by=self.state.coordinator.placer_of(number),
             **notice_details(decision),
         )
         if self.sink.gone or self.refuse_for_crashes():
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, Finding.UNUSED)
             return
         outcome = await self.carry(number, decision, facts)
         self.conclude(outcome)
@@ -313,13 +313,13 @@
             self.state.codec.read_head,
             self.state.clock,
             opened=self.open_stream,
-            started=lambda: self.state.asking.note_start(
+            started=lambda: self.state.coordinator.note_start(
                 number, self.state.clock.seconds() - began
             ),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            heard=self.state.notices.head_handler(placed.server_id, self.id),
         )
         outcome = await self.attempt.run()
-        self.state.asking.note_end(number, self.attempt.finding)
+        self.state.coordinator.note_end(number, self.attempt.finding)
         await self.state.endings.examine(
             self.attempt,
             self.order.caller,
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -5,8 +5,8 @@
 
 from ..core.sentinels import NOTHING
 from ..traffic.members import CONTACT_AGE, SETTLED
-from .hostentries import host_entry, member_of
-from .messages import Records, RecordsAsk, Roster, RosterRow
+from .hostentries import entry_from_member, member_from_entry
+from .messages import HostEntriesMessage, HostEntriesRequest, Roster, RosterRow
 
 __all__ = ["Rosters"]
 
@@ -42,7 +42,7 @@
 
     Args:
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
     """
 
@@ -83,7 +83,9 @@
                 unknown.append(row.id)
         sender = self.members.others.get(message.host)
         if unknown and sender is not None:
-            ask = RecordsAsk(self.members.own.name, unknown[:MOST_ASKED])
+            ask = HostEntriesRequest(
+                self.members.own.name, unknown[:MOST_ASKED]
+            )
             self.datagrams.send(ask, sender.control)
 
     def tell_records(self, message):
@@ -94,17 +96,17 @@
         known = dict(self.members.by_id)
         known[self.members.own.id] = self.members.own
         entries = [
-            host_entry(known[one])
+            entry_from_member(known[one])
             for one in message.ids[:MOST_ASKED]
             if one in known
         ]
-        self.datagrams.send(Records(entries), asker.control)
+        self.datagrams.send(HostEntriesMessage(entries), asker.control)
 
     def take_records(self, message):
         """Learn who hosts are."""
         now = self.clock.seconds()
         for entry in message.hosts:
-            self.members.learn(member_of(entry), spoke_at=now)
+            self.members.learn(member_from_entry(entry), spoke_at=now)
 
 
 def told_of(member, now):
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -19,7 +19,7 @@
         keeper: `ConfigurationKeeper`.
         registry: `Registry` of backend servers.
         members: `Members`.
-        asking: `Asking`.
+        coordinator: `PlacementCoordinator`.
         connections: `Connections`.
         far_hosts: `FarHosts` of other regions.
         contact: `Contact` with the store.
@@ -28,7 +28,7 @@
         retries: `RetryWindow`.
         endings: `Endings` of backend servers.
         sharing: `CrashSharing` of requests under which servers ended.
-        notices: `Notices` that servers give in their answers.
+        notices: `ServerNotices` that servers give in their answers.
         codec: Reads and writes the headers of callers and servers.
         stopping_since: Time of the signal to stop, or `NOTHING`.
     """
@@ -40,7 +40,7 @@
     keeper: object
     registry: object
     members: object
-    asking: object
+    coordinator: object
     connections: object
     far_hosts: object
     contact: object
--- a/src/hyssopspring/entry/suspicion.py
+++ b/src/hyssopspring/entry/suspicion.py
@@ -60,7 +60,7 @@
         # The body of a request whose caller has gone cannot be read.
         if not self.caller or self.request._disconnected:
             return Verdict.FREE
-        if not self.sharing.knows_any():
+        if not self.sharing.has_suspects():
             return Verdict.FREE
         return self.sharing.verdict(self.fingerprint, self.caller)
 
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -11,7 +11,7 @@
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
 from ..traffic.members import LEARNING
-from .messages import ViewAnswer, ViewAsk
+from .messages import ViewRequest, ViewResponse
 
 __all__ = ["ConfirmedView", "ViewChecking"]
 
@@ -119,7 +119,7 @@
         view: The `ConfirmedView`.
         keeper: The `ConfigurationKeeper`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
         read: Called to read the configuration from the store.
@@ -234,7 +234,7 @@
         if member is self.members.own:
             return
         stamp = math.floor(self.view.clock() * 1000)
-        question = ViewAsk(self.members.own.name, stamp)
+        question = ViewRequest(self.members.own.name, stamp)
         self.datagrams.send(question, member.control)
 
     def take_question(self, message):
@@ -245,7 +245,7 @@
         if self.view.confirmed_at is NOTHING:
             return
         age = math.ceil(self.view.age * 1000)
-        answer = ViewAnswer(message.stamp, age, self.keeper.version)
+        answer = ViewResponse(message.stamp, age, self.keeper.version)
         self.datagrams.send(answer, member.control)
         first = self.members.placers(self.clock.seconds())[0]
         if first is self.members.own and not self.view.denies:
--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashes.py
@@ -8,7 +8,7 @@
 from ..core.hashing import digest_of
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
-from ..entry.crashsharing import row_of, suspect_of
+from ..entry.crashsharing import suspect_from_row, suspect_row
 from ..traffic.crashes import KEPT, Crashes, End, Verdict, is_early
 from .messages import CallSuspects
 
@@ -136,7 +136,7 @@
     def tell(self, suspects):
         """Tell all hosts of some calls."""
         now = self.clock.seconds()
-        rows = [row_of(one, now) for one in suspects[:ROWS_AT_ONCE]]
+        rows = [suspect_row(one, now) for one in suspects[:ROWS_AT_ONCE]]
         self.publish(CallSuspects(host=self.host, rows=rows))
 
     def take(self, message):
@@ -148,7 +148,7 @@
         now = self.clock.seconds()
         news = []
         for row in message.rows:
-            told = suspect_of(row, now)
+            told = suspect_from_row(row, now)
             if self.crashes.merge(told, now):
                 news.append(told.fingerprint)
         suspects = self.crashes.suspects
--- a/src/hyssopspring_fakes/emulation.py
+++ b/src/hyssopspring_fakes/emulation.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from hyssopspring.entry.asking import ANSWER_WITHIN
+from hyssopspring.entry.coordinator import ANSWER_TIMEOUT_SECONDS
 from hyssopspring.traffic.decisions import Ask, Away, Placed
 from hyssopspring.traffic.evidence import Finding
 from hyssopspring.traffic.placing import Placer
@@ -136,7 +136,7 @@
             before it.
         choice_seconds: Seconds that the host that places for a region
             needs for each question. It answers the newest first; who
-            waits for longer than `ANSWER_WITHIN` decides without it.
+            waits for longer than `ANSWER_TIMEOUT_SECONDS` decides without it.
         limits: Requests a second that engines name as their limit, by name.
     """
 
@@ -511,7 +511,7 @@
     def answer(self, now):
         """Let the placing hosts answer; who waits too long does without."""
         for region, asked in self.asked.items():
-            while asked and now - asked[0][0] > ANSWER_WITHIN:
+            while asked and now - asked[0][0] > ANSWER_TIMEOUT_SECONDS:
                 _, load, _ = asked.popleft()
                 name = self.rng.choice(self.by_region[region])
                 self.engines[name].add(load)
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -14,15 +14,15 @@
 from hyssopspring.core.tokenlimits import Allowance, TokenLimits
 from hyssopspring.entry.attempts import Head
 from hyssopspring.entry.crashsharing import CrashSharing
-from hyssopspring.entry.datagrams import Datagrams
+from hyssopspring.entry.datagrams import DatagramEndpoint
 from hyssopspring.entry.limiting import (
-    LATELY,
-    TRANSFERS_EVERY,
-    Limiting,
-    Standing,
+    RECENT_FALLBACK_SECONDS,
+    TRANSFER_INTERVAL_SECONDS,
+    PlacementShare,
+    WorkspaceLimiter,
 )
 from hyssopspring.entry.membership import HEARTBEAT_EVERY, Membership
-from hyssopspring.entry.notices import Notices
+from hyssopspring.entry.notices import ServerNotices
 from hyssopspring.entry.views import ConfirmedView, ViewChecking
 from hyssopspring.traffic.crashes import Crashes
 from hyssopspring.traffic.decisions import Ask, Placed
@@ -66,7 +66,7 @@
 class Quiet:
     """A placer, its questions and a time line of a host without requests."""
 
-    limiting = None
+    limiter = None
 
     def __init__(self):
         self.forgotten = []
@@ -110,7 +110,7 @@
         self.up = True
         self.burst_at = -1.0
         self.burst = 0
-        self.told_suspects = 0
+        self.suspect_datagrams = 0
         self.began = network.clock.seconds()
         ip = f"10.{REGIONS.index(region)}.{number // 200}.{number % 200}"
         own = Member(
@@ -126,7 +126,7 @@
         )
         self.members = Members(own)
         self.quiet = Quiet()
-        self.datagrams = Datagrams(self.receive, self.refuse)
+        self.datagrams = DatagramEndpoint(self.receive, self.refuse)
         self.datagrams.transport = self
         self.saved = []
         self.sharing = CrashSharing(
@@ -151,22 +151,22 @@
             lambda: network.read_store(self),
             lambda: self.membership.far_contacts,
         )
-        standing = Standing(self.members, network.clock)
-        self.limiting = Limiting(
-            TokenLimits(len(REGIONS), ALLOWANCE, standing.weight),
+        placement_share = PlacementShare(self.members, network.clock)
+        self.limiter = WorkspaceLimiter(
+            TokenLimits(len(REGIONS), ALLOWANCE, placement_share.share),
             self.keeper,
             self.members,
             self.datagrams,
             network.clock.seconds,
             network.clock,
             network.rng,
-            standing,
+            placement_share,
             lambda: self.membership.far_contacts,
         )
-        self.quiet.limiting = self.limiting
+        self.quiet.limiter = self.limiter
         self.registry = Registry({f"{region}-a": region})
-        self.server_limits = ServerLimits(standing.weight, network.rng)
-        self.notices = Notices(
+        self.server_limits = ServerLimits(placement_share.share, network.rng)
+        self.notices = ServerNotices(
             self.server_limits,
             Rests(self.registry, network.rng),
             self.registry,
@@ -208,7 +208,7 @@
 
     def write(self, data, address):
         """Send one datagram, unless the link is full."""
-        self.told_suspects += data[1:3] == SUSPECTS_TAG
+        self.suspect_datagrams += data[1:3] == SUSPECTS_TAG
         now = self.network.clock.seconds()
         if now != self.burst_at:
             self.burst_at, self.burst = now, 0
@@ -229,7 +229,7 @@
     def balance(self):
         """Ask for tokens."""
         if self.up:
-            self.limiting.tick()
+            self.limiter.tick()
 
     def live(self, region):
         """Return the names of the live hosts of a region."""
@@ -270,7 +270,7 @@
         self.by_ip[split_address(host.members.own.control)[0]] = host
         for work, interval in (
             (host.beat, HEARTBEAT_EVERY),
-            (host.balance, TRANSFERS_EVERY),
+            (host.balance, TRANSFER_INTERVAL_SECONDS),
         ):
             loop = task.LoopingCall(work)
             loop.clock = self.clock
@@ -479,13 +479,14 @@
             if late or not other.up or self.network.cut & {host, other}:
                 self.strayed_at[ask.host] = now
                 continue
-            other.limiting.standing.note_asked(
+            other.limiter.placement_share.note_asked(
                 ask.host,
-                second=turn > 0,
-                strayed=now - self.strayed_at.get(ask.host, -9.0) < LATELY,
+                is_fallback=turn > 0,
+                recent_fallback=now - self.strayed_at.get(ask.host, -9.0)
+                < RECENT_FALLBACK_SECONDS,
             )
-            return other.limiting.decide(ask, placed)
-        return host.limiting.decide(ask, placed)
+            return other.limiter.decide(ask, placed)
+        return host.limiter.decide(ask, placed)
 
     def most_in(self, window):
         """Return the most tokens that passed in any window."""
@@ -617,7 +618,7 @@
         self.arrived[server_id].append(now)
         self.sent += 1
         head = Head(stamped=True, limit=self.limit(now))
-        hear = host.notices.listener(server_id, f"r{self.sent}")
+        hear = host.notices.head_handler(server_id, f"r{self.sent}")
         self.network.clock.callLater(
             ANSWER_SECONDS, lambda: host.up and hear(head)
         )
@@ -632,8 +633,10 @@
             if late or not other.up or self.network.cut & {host, other}:
                 continue
             name = host.members.own.name
-            standing = other.limiting.standing
-            standing.note_asked(name, second=turn > 0, strayed=late)
+            placement_share = other.limiter.placement_share
+            placement_share.note_asked(
+                name, is_fallback=turn > 0, recent_fallback=late
+            )
             return other
         return host
 
--- a/tests/test_asking.py
+++ b/tests/test_coordinator.py
@@ -8,14 +8,14 @@
 from twisted.internet import defer, task
 
 from hyssopspring.core.events import HybridClock, Timeline
-from hyssopspring.entry.asking import (
-    Asking,
+from hyssopspring.entry.coordinator import (
+    PlacementCoordinator,
     answer_message,
-    ask_message,
-    decision_of,
+    decision_from_message,
+    query_message,
 )
 from hyssopspring.entry.messages import (
-    EndMessage,
+    AttemptEndedMessage,
     decode_message,
     encode_message,
 )
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("decision", DECISIONS)
-def test_a_decision_reaches_the_host_that_asked(decision):
+def test_a_decision_survives_encoding_and_decoding(decision):
     """Requests that were refused are sent to engines that are full.
 
     The placing host fails to write its refusal, so the asking host waits
@@ -46,18 +46,18 @@
     """
     message = decode_message(encode_message(answer_message(7, decision)))
     assert_that(message.number, Equals(7))
-    assert_that(decision_of(message), Equals(decision))
+    assert_that(decision_from_message(message), Equals(decision))
 
 
 class Unlimited:
     """Let all requests pass."""
 
     @property
-    def standing(self):
+    def placement_share(self):
         """Return what notes who asks."""
         return self
 
-    def note_asked(self, host, *, second, strayed):
+    def note_asked(self, host, *, is_fallback, recent_fallback):
         """Do nothing."""
 
     def decide(self, ask, decide):
@@ -68,7 +68,7 @@
         """Do nothing."""
 
 
-class Sent(list):
+class SentMessages(list):
     """Keep the messages that are sent, with their addresses."""
 
     def send(self, message, address):
@@ -90,13 +90,13 @@
     )
 
 
-def make_asking(own, other):
-    """Return the `Asking` of a host, its clock, and what it sends."""
+def make_coordinator(own, other):
+    """Return a host's `PlacementCoordinator`, its clock and sent messages."""
     clock = task.Clock()
     members = Members(make_member(own))
     members.learn(make_member(other))
     members.others[other].heard_at = 0.0
-    sent = Sent()
+    sent = SentMessages()
     registry = Registry({})
     placer = Placer(
         "north",
@@ -107,7 +107,7 @@
         lambda now: {"north"},
     )
     timeline = Timeline(own, HybridClock(clock.seconds))
-    asking = Asking(
+    coordinator = PlacementCoordinator(
         members,
         placer,
         registry,
@@ -118,7 +118,7 @@
         Unlimited(),
         Rests(registry, random.Random(1)),
     )
-    return asking, clock, sent
+    return coordinator, clock, sent
 
 
 def test_a_busy_placing_host_answers_the_newest_questions():
@@ -127,12 +127,12 @@
     The placing host cannot keep up. It answers each question in the order
     in which they came, all of them after their hosts have given it up.
     """
-    asking, clock, sent = make_asking("placer", "asker")
-    asker = asking.members.others["asker"]
+    coordinator, clock, sent = make_coordinator("placer", "asker")
+    asker = coordinator.members.others["asker"]
 
     def ask(number):
-        message = ask_message(Ask(host="asker", number=number, service="s"))
-        asking.take_question(message, asker)
+        message = query_message(Ask(host="asker", number=number, service="s"))
+        coordinator.enqueue_query(message, asker)
 
     for number in range(30):
         ask(number)
@@ -146,26 +146,26 @@
     answered = [message.number for message, _ in sent]
     assert_that(sorted(answered), Equals(list(range(30, 40))))
     assert_that(answered[0], Equals(39))
-    assert_that(asking.left_out, Equals(30))
+    assert_that(coordinator.queries_dropped, Equals(30))
 
 
-def test_a_placement_that_came_too_late_is_given_back():
+def test_a_late_placement_is_released():
     """Servers look loaded by requests that others carry out elsewhere.
 
     The placing host is busy and answers after 0.2 s. The host that asked
     has gone on without it; nobody tells the placing host that its server
     never gets the request.
     """
-    asking, clock, sent = make_asking("asker", "placer")
+    coordinator, clock, sent = make_coordinator("asker", "placer")
     done = defer.ensureDeferred(
-        asking.place(Ask(host="", number=0, service="plain"))
+        coordinator.place(Ask(host="", number=0, service="plain"))
     )
     clock.advance(0.2)
     number, decision = done.result
     assert isinstance(decision, Refused)
-    asking.take_answer(answer_message(number, DECISIONS[0]))
+    coordinator.handle_answer(answer_message(number, DECISIONS[0]))
     message, address = sent[-1]
-    assert isinstance(message, EndMessage)
+    assert isinstance(message, AttemptEndedMessage)
     assert_that((message.host, message.number), Equals(("asker", number)))
     assert_that(message.server_id, Equals("server"))
     assert_that(address, Equals("placer:2"))
--- a/tests/test_crashsharing.py
+++ b/tests/test_crashsharing.py
@@ -9,14 +9,18 @@
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, LessThan
 
-from hyssopspring.entry.messages import EndRow, SuspectRow, Suspects
+from hyssopspring.entry.messages import (
+    ServerEndRow,
+    SuspectRow,
+    SuspectsMessage,
+)
 from hyssopspring.traffic.crashes import MOST_SUSPECTS, Verdict
 
-HEARD_WITHIN = 5.0
+PROPAGATION_SECONDS = 5.0
 """Seconds after a third end in which each host that is in touch must know;
 what a host sends one second later counts."""
 
-BAD = "b" * 32
+FINGERPRINT = "b" * 32
 
 
 @pytest.fixture
@@ -27,16 +31,16 @@
     return made
 
 
-def end_servers(network, names, *, apart=0.1, fingerprint=BAD):
+def end_servers(network, names, *, interval=0.1, fingerprint=FINGERPRINT):
     """Let a server end under a request at each host of *names*."""
     for number, name in enumerate(names):
         network.hosts[name].sharing.server_ended(
             fingerprint, "c", f"server-{name}-{number}"
         )
-        network.run(apart)
+        network.run(interval)
 
 
-def verdicts(network, fingerprint=BAD):
+def verdicts(network, fingerprint=FINGERPRINT):
     """Return the verdicts of all hosts that run."""
     return {
         host.sharing.verdict(fingerprint, "c")
@@ -45,14 +49,14 @@
     }
 
 
-def test_all_hosts_hear_of_ends_at_hosts_of_other_regions(network):
+def test_all_hosts_learn_of_crashes_in_other_regions(network):
     """Each region lets three servers end before it refuses the request."""
     end_servers(network, ["north-3", "south-5", "west-19"])
     network.run(1.0)
     assert_that(verdicts(network), Equals({Verdict.BLOCKED}))
 
 
-def test_what_is_near_by_is_told_to_few(network):
+def test_first_crashes_are_announced_to_few_hosts(network):
     """A server that ends with 60 requests fills the links of all hosts."""
     before = {
         name: host.datagrams.bytes_sent for name, host in network.hosts.items()
@@ -77,78 +81,84 @@
     )
 
 
-def test_a_region_that_was_cut_off_hears_when_it_is_back(network):
+def test_a_partitioned_region_catches_up_when_reconnected(network):
     """Servers end in a region that could not be told of the request."""
     west = {host for host in network.hosts.values() if host.region == "west"}
     network.cut |= west
     end_servers(network, ["north-3", "south-5", "north-7"])
     network.run(12.0)
     network.cut -= west
-    network.run(HEARD_WITHIN)
+    network.run(PROPAGATION_SECONDS)
     assert_that(verdicts(network), Equals({Verdict.BLOCKED}))
 
 
-def test_regions_that_lost_each_other_hear_through_a_third(network):
+def test_partitioned_regions_learn_through_a_third(network):
     """North and west are cut off from each other, south reaches both."""
     network.cut_pairs.add(frozenset(("north", "west")))
     end_servers(network, ["north-3", "north-5", "north-7"])
-    network.run(HEARD_WITHIN)
+    network.run(PROPAGATION_SECONDS)
     assert_that(verdicts(network), Equals({Verdict.BLOCKED}))
 
 
-def test_a_host_that_starts_again_hears_of_it(network):
+def test_a_restarted_host_learns_of_blocked_requests(network):
     """The first host that starts again sends the request to servers."""
     end_servers(network, ["north-3", "south-5", "north-7"])
     network.hosts["north-9"].up = False
     network.run(10.0)
-    again = network.add("north-9", "north", 9, 2)
-    network.introduce(again, network.hosts.values())
+    restarted = network.add("north-9", "north", 9, 2)
+    network.introduce(restarted, network.hosts.values())
     network.run(2.0)
-    assert_that(again.sharing.verdict(BAD, "c"), Equals(Verdict.BLOCKED))
+    assert_that(
+        restarted.sharing.verdict(FINGERPRINT, "c"), Equals(Verdict.BLOCKED)
+    )
 
 
-def test_word_that_is_lost_is_told_again(network):
+def test_a_lost_announcement_is_repeated(network):
     """One host lets the request through, as it missed a datagram."""
-    deaf = network.hosts["south-11"]
-    network.cut.add(deaf)
+    isolated = network.hosts["south-11"]
+    network.cut.add(isolated)
     end_servers(network, ["south-3", "south-5", "south-7"])
-    network.cut.discard(deaf)
-    network.run(HEARD_WITHIN)
-    assert_that(deaf.sharing.verdict(BAD, "c"), Equals(Verdict.BLOCKED))
+    network.cut.discard(isolated)
+    network.run(PROPAGATION_SECONDS)
+    assert_that(
+        isolated.sharing.verdict(FINGERPRINT, "c"), Equals(Verdict.BLOCKED)
+    )
 
 
-def test_all_hear_that_a_request_ran_well(network):
+def test_all_hosts_learn_that_a_request_succeeded(network):
     """A request is kept apart for minutes that has run well since."""
     end_servers(network, ["north-3", "south-5"])
     network.run(1.0)
     assert_that(verdicts(network), Equals({Verdict.ALONE}))
-    network.hosts["west-8"].sharing.ran_well(BAD, "c")
-    network.run(HEARD_WITHIN)
+    network.hosts["west-8"].sharing.ran_well(FINGERPRINT, "c")
+    network.run(PROPAGATION_SECONDS)
     assert_that(verdicts(network), Equals({Verdict.FREE}))
 
 
-def test_nothing_is_sent_where_all_know_the_same(network):
+def test_nothing_is_sent_between_hosts_in_sync(network):
     """Hosts go on to tell each other what all know."""
     end_servers(network, ["north-3", "south-5", "west-7"])
     network.run(5.0)
-    told = count_suspects(network)
+    count_since = count_suspects(network)
     network.run(10.0)
-    assert_that(told(), Equals(0))
+    assert_that(count_since(), Equals(0))
 
 
-def test_more_than_there_is_room_for_is_taken_in(network):
+def test_more_suspects_than_the_table_holds_are_merged(network):
     """Word of many ends fails midway, and the rest of it is lost."""
     host = network.hosts["north-3"]
     for first in range(0, MOST_SUSPECTS + 200, 100):
         rows = [
-            SuspectRow(f"{first + one:032}", [EndRow("s", first + one, "h")])
+            SuspectRow(
+                f"{first + one:032}", [ServerEndRow("s", first + one, "h")]
+            )
             for one in range(100)
         ]
-        host.sharing.take(Suspects("north-4", rows))
+        host.sharing.merge(SuspectsMessage("north-4", rows))
     assert len(host.sharing.crashes.suspects) <= MOST_SUSPECTS
 
 
-def test_what_was_near_by_and_ran_well_is_told_to_few(network):
+def test_successful_repeats_are_announced_to_few_hosts(network):
     """Each answer after the end of a server is told to all hosts.
 
     Sixty requests were about to begin on a server that ended. Each is
@@ -160,20 +170,20 @@
             f"{number:032}", "c", "s"
         )
     network.run(1.0)
-    told = count_suspects(network)
+    count_since = count_suspects(network)
     for number in range(60):
         network.hosts["north-3"].sharing.ran_well(f"{number:032}", "c")
     network.run(1.0)
     few = 3 + 2 * 3 + 2 * 3 * 3
-    assert_that(told(), LessThan(60 * (few + 1)))
+    assert_that(count_since(), LessThan(60 * (few + 1)))
 
 
 def count_suspects(network):
     """Return a function that returns the datagrams on suspects since."""
-    before = sum(host.told_suspects for host in network.hosts.values())
+    before = sum(host.suspect_datagrams for host in network.hosts.values())
 
-    def told():
-        now = sum(host.told_suspects for host in network.hosts.values())
+    def count_since():
+        now = sum(host.suspect_datagrams for host in network.hosts.values())
         return now - before
 
-    return told
+    return count_since
--- a/tests/test_denials.py
+++ b/tests/test_denials.py
@@ -12,11 +12,11 @@
 APPLY_SECONDS = 4.0
 """Seconds in which a change must be in force at every host."""
 
-ADDED = configuration(5, lookup={"prefix": "/new/"})
+CONFIGURATION_WITH_NEW_ROUTE = configuration(5, lookup={"prefix": "/new/"})
 """A configuration with a route that the first one lacks."""
 
 
-def cut(hosts):
+def cut_off_store(hosts):
     """Cut the way of all hosts to the store."""
     for proxy in hosts.proxies.values():
         proxy.silence()
@@ -29,11 +29,11 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_route_that_no_watch_told_of_is_not_denied(proxied_hosts):
+async def test_a_route_missed_by_all_watches_is_not_denied(proxied_hosts):
     """Guards against 404 while watches miss a change and calls succeed."""
     await pause(2.0)
     proxied_hosts.store.deaf = True
-    proxied_hosts.store.put_json("op/config", ADDED)
+    proxied_hosts.store.put_json("op/config", CONFIGURATION_WITH_NEW_ROUTE)
     await pause(APPLY_SECONDS)
     for host in ("h-north", "h-south"):
         status, _, _ = await proxied_hosts.send(
@@ -50,8 +50,8 @@
     to go elsewhere.
     """
     await pause(2.0)
-    cut(proxied_hosts)
-    proxied_hosts.store.put_json("op/config", ADDED)
+    cut_off_store(proxied_hosts)
+    proxied_hosts.store.put_json("op/config", CONFIGURATION_WITH_NEW_ROUTE)
     await pause(APPLY_SECONDS)
     asked_at = reactor.seconds()
     status, headers, _ = await proxied_hosts.send(
@@ -63,20 +63,20 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_callers_wait_once_for_what_a_host_cannot_know(proxied_hosts):
+async def test_callers_wait_once_for_an_unverifiable_route(proxied_hosts):
     """Guards against a second of waiting for each caller in an outage."""
     await pause(2.0)
-    cut(proxied_hosts)
+    cut_off_store(proxied_hosts)
     await pause(APPLY_SECONDS)
-    took = []
+    waits = []
     for number in range(3):
         asked_at = reactor.seconds()
         status, _, _ = await proxied_hosts.send(
             "h-north", "/nowhere/a", identifier=f"r{number}"
         )
         assert_that(status, Equals(503))
-        took.append(reactor.seconds() - asked_at)
-    assert_that(max(took[1:]), LessThan(0.3))
+        waits.append(reactor.seconds() - asked_at)
+    assert_that(max(waits[1:]), LessThan(0.3))
 
 
 @pytest_twisted.ensureDeferred
@@ -86,8 +86,8 @@
     For its own clock the store answered a moment ago.
     """
     await pause(2.0)
-    cut(proxied_hosts)
-    proxied_hosts.store.put_json("op/config", ADDED)
+    cut_off_store(proxied_hosts)
+    proxied_hosts.store.put_json("op/config", CONFIGURATION_WITH_NEW_ROUTE)
     for process in proxied_hosts.processes.values():
         process.state.view.clock = lambda: time.monotonic() + 30.0
     status, _, _ = await proxied_hosts.send(
@@ -110,7 +110,7 @@
     await proxied_hosts.until(
         lambda: second.keeper.version == 4 and second.state.view.is_fresh
     )
-    cut(proxied_hosts)
+    cut_off_store(proxied_hosts)
     added = [{**WORKSPACES[0], "api_keys": ["new-key"]}]
     changed = keyed_configuration(5, added)
     proxied_hosts.store.put_json("op/config", changed)
@@ -144,12 +144,14 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_planned_stop_answers_those_that_are_in_doubt(proxied_hosts):
+async def test_a_planned_stop_answers_requests_under_verification(
+    proxied_hosts,
+):
     """Guards against a connection that ends without an answer at a stop."""
     proxied_hosts.add_host("h-north-2", "north", 5)
     await proxied_hosts.settled()
     await pause(2.0)
-    cut(proxied_hosts)
+    cut_off_store(proxied_hosts)
     await pause(APPLY_SECONDS)
     process = proxied_hosts.processes.pop("h-north")
     front = process.settings.front
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -68,7 +68,7 @@
     def __init__(self):
         self.found = []
 
-    def knows_any(self):
+    def has_suspects(self):
         """Whether something was found before."""
         return True
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -334,7 +334,7 @@
     hosts.backends["plain-north"].mood = "full"
     await hosts.send("h-north", "/lookup/a", identifier="r1")
     for process in hosts.processes.values():
-        process.lines.flush()
+        process.log_writer.flush()
     rows = [json.loads(line) for line in hosts.lines]
     way = [row["event"] for row in rows if row.get("request") == "r1"]
     for event in ("placed", "attempt_ended", "sent_away", "relayed"):
@@ -398,9 +398,9 @@
     outcome = response.headers.getRawHeaders("hyssop-outcome")
     assert_that(outcome, Equals(["not-run"]))
     change = StoreChange("h-south", "op/", 0, [], [], False)
-    before = north.measures.events["peer_refused"]
+    before = north.metrics.events["peer_refused"]
     north.membership.receive(change, "127.0.0.77")
-    assert_that(north.measures.events["peer_refused"], Equals(before + 1))
+    assert_that(north.metrics.events["peer_refused"], Equals(before + 1))
     ran = [one for b in hosts.backends.values() for one in b.ran]
     assert_that(ran, Equals([]))
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -169,7 +169,9 @@
     """Have a host hear that the first server of its region leaves."""
     host = network.hosts[name]
     server_id = f"{host.region}-server-0"
-    host.notices.listener(server_id, "r1")(Head(stamped=True, leaving=True))
+    host.notices.head_handler(server_id, "r1")(
+        Head(stamped=True, leaving=True)
+    )
 
 
 def unaware(network):
--- a/tests/test_limiting.py
+++ b/tests/test_limiting.py
@@ -20,7 +20,7 @@
 ]
 
 
-async def limited(hosts):
+async def apply_limit(hosts):
     """Put a limit of 1,000 tokens a second in force."""
     document = keyed_configuration(2, LIMITED)
     hosts.store.put_json("op/config", document)
@@ -28,7 +28,7 @@
         lambda: all(
             process.keeper.version == 2
             and process.state.view.is_fresh
-            and process.limiting.is_first()
+            and process.limiter.is_first()
             for process in hosts.processes.values()
         )
     )
@@ -47,13 +47,13 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_request_beyond_the_limit_is_told_when_to_come_back(hosts):
+async def test_a_request_over_the_limit_gets_retry_after(hosts):
     """A caller asks again and again, as nobody says when there is room.
 
     The first request finds an empty bucket, as its host has just heard of
     the workspace. It reaches no server, and passes when it comes back.
     """
-    await limited(hosts)
+    await apply_limit(hosts)
     status, headers = await ask(hosts, 1)
     assert_that(status, Equals(429))
     wait = float(headers.getRawHeaders(b"retry-after")[0])
@@ -76,12 +76,12 @@
     Both servers reject all. The tokens of each try are given back, so the
     next one still finds enough.
     """
-    await limited(hosts)
+    await apply_limit(hosts)
     await ask(hosts, 0)
     await task.deferLater(reactor, 1.0)
     for backend in hosts.backends.values():
         backend.mood = "full"
-    usage = hosts.processes["h-north"].limiting.limits.usages["desk"]
+    usage = hosts.processes["h-north"].limiter.limits.usages["desk"]
     before = usage.level
     status, _ = await ask(hosts, 1)
     assert_that(status, Equals(503))
@@ -89,12 +89,12 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_region_without_demand_hands_its_tokens_over(hosts):
+async def test_a_region_without_demand_transfers_its_tokens(hosts):
     """A region refuses what the whole limit has room for elsewhere.
 
     Only the north asks, for 0.8 of the limit, of which it owns a half.
     """
-    await limited(hosts)
+    await apply_limit(hosts)
     refused = 0
     for number in range(20):
         status, _ = await ask(hosts, number)
@@ -104,8 +104,8 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_senseless_count_of_tokens_gets_a_clear_answer(hosts):
+async def test_an_invalid_token_count_is_rejected(hosts):
     """A caller whose count cannot be read is served without limit."""
-    await limited(hosts)
+    await apply_limit(hosts)
     status, _ = await ask(hosts, 1, x_token_usage="many,1")
     assert_that(status, Equals(400))
--- a/tests/test_lines.py
+++ b/tests/test_logs.py
@@ -8,12 +8,12 @@
 from twisted.internet import task
 
 from hyssopspring.core.events import EventKind, HybridClock, Timeline
-from hyssopspring.entry.lines import (
-    BURST,
-    LINES_A_SECOND,
-    LineWriter,
+from hyssopspring.entry.logwriter import (
+    BURST_LINES,
+    LINES_PER_SECOND,
+    LogWriter,
 )
-from hyssopspring.entry.measures import Measures
+from hyssopspring.entry.prometheus import PrometheusMetrics
 from hyssopspring.records import cause_of, read_records
 
 
@@ -31,13 +31,13 @@
 
 @pytest.fixture
 def lines(clock, written):
-    """Return a `LineWriter` whose reader takes all."""
+    """Return a `LogWriter` whose reader takes all."""
 
     def write(data):
         written.append(data)
         return len(data)
 
-    return LineWriter(clock, write)
+    return LogWriter(clock, write)
 
 
 def rows(written):
@@ -46,9 +46,7 @@
     return [json.loads(line) for line in text.splitlines()]
 
 
-def test_a_flood_of_decisions_does_not_become_a_flood_of_lines(
-    clock, lines, written
-):
+def test_log_rate_is_bounded_under_overload(clock, lines, written):
     """The log of an overloaded host costs more than its requests.
 
     Ten thousand decisions come in ten seconds. What exceeds the rate is
@@ -61,30 +59,30 @@
         clock.advance(0.001)
     lines.flush()
     got = rows(written)
-    assert len(got) <= BURST + 10 * LINES_A_SECOND + 1
+    assert len(got) <= BURST_LINES + 10 * LINES_PER_SECOND + 1
     kinds = [row["event"] for row in got]
     assert_that(kinds.count("unexpected"), Equals(1000))
     left_out = sum(r["lines"] for r in got if r["event"] == "left_out")
     assert_that(len(got) - 1 + left_out, Equals(10_000))
 
 
-def test_a_reader_that_stops_reading_costs_lines_not_requests(clock):
+def test_a_stalled_log_reader_loses_lines_without_blocking(clock):
     """The process stands still, since nobody reads its log."""
 
     def write(data):
         raise BlockingIOError
 
-    writer = LineWriter(clock, write)
+    writer = LogWriter(clock, write)
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[writer])
     for number in range(20_000):
         timeline.note(EventKind.UNEXPECTED, request=f"r{number}")
         clock.advance(0.01)
         writer.flush()
-    assert len(writer.rest) < 1_000_000
-    assert b'"event":"left_out"' in writer.rest or writer.left_out
+    assert len(writer.unwritten) < 1_000_000
+    assert b'"event":"left_out"' in writer.unwritten or writer.lines_dropped
 
 
-def test_a_part_that_was_taken_is_not_written_again(clock, written):
+def test_a_partial_write_is_not_repeated(clock, written):
     """A line is cut in two, and its start stands there twice."""
     taken = []
 
@@ -93,7 +91,7 @@
         taken.append(part)
         return len(part)
 
-    writer = LineWriter(clock, write)
+    writer = LogWriter(clock, write)
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[writer])
     timeline.note(EventKind.STARTED)
     for _ in range(40):
@@ -101,13 +99,13 @@
     assert_that(rows(taken)[0]["event"], Equals("started"))
 
 
-def test_measures_count_events_and_times(clock):
+def test_metrics_count_events_and_times(clock):
     """The text holds counters, histograms and values of this moment."""
-    measures = Measures(lambda: {"hosts_live": 7})
-    timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[measures])
+    metrics = PrometheusMetrics(lambda: {"hosts_live": 7})
+    timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[metrics])
     timeline.note(EventKind.PLACED, predicted=0.25)
     timeline.note(EventKind.ANSWERED, first_ms=500, took_ms=900)
-    text = measures.text()
+    text = metrics.text()
     for line in (
         'hyssop_events_total{event="answered"} 1',
         "hyssop_hosts_live 7",
@@ -192,7 +190,7 @@
         assert_that(cause, Contains(part))
 
 
-def test_a_late_answer_names_the_wrong_prediction_and_who_stood_before():
+def test_the_cause_of_a_late_answer_names_the_wrong_prediction():
     """A caller waited for a second, and the lines say all was well.
 
     It was placed where an answer was predicted in 36 ms. A long prompt
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -35,23 +35,23 @@
         ((b"1, 2",), INVALID),
     ],
 )
-def test_a_limit_that_is_no_number_is_not_believed(limits, read):
+def test_a_limit_that_is_no_number_is_invalid(limits, read):
     """A senseless limit would stop a service, or let all through."""
     assert_that(head_of(*limits).limit, Equals(read))
 
 
 @pytest.mark.parametrize(
-    ("said", "read"),
+    ("values", "read"),
     [((), False), ((b"1",), True), ((b"0",), INVALID), ((b"1",) * 2, INVALID)],
 )
-def test_a_senseless_word_on_leaving_is_not_believed(said, read):
+def test_a_malformed_leaving_header_is_invalid(values, read):
     """A server with a faulty header is never used again."""
-    headers = Headers({b"server-leaving": list(said)})
+    headers = Headers({b"server-leaving": list(values)})
     assert_that(read_head(200, headers).leaving, Equals(read))
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_line_tells_which_answer_named_a_limit(hosts):
+async def test_a_log_line_names_the_answer_that_set_a_limit(hosts):
     """Nobody could tell from lines whether a limit was read at all."""
     backend = hosts.backends["plain-north"]
     for number, limit in enumerate((b"2000", b"2000", b"x", b"3000", None)):
@@ -78,7 +78,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_lines_tell_which_word_of_a_server_led_to_a_refusal(hosts):
+async def test_log_lines_name_the_server_notice_behind_a_refusal(hosts):
     """A caller is refused, and no line says that servers asked for it."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].told = {b"server-leaving": b"1"}
@@ -99,7 +99,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_lines_tell_which_limit_held_a_request_back(hosts):
+async def test_log_lines_name_the_limit_behind_a_refusal(hosts):
     """A caller is refused by a limit, and no line says whose it is."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].told = {b"server-limit": b"0.5"}
--- a/tests/test_provenance.py
+++ b/tests/test_provenance.py
@@ -14,7 +14,7 @@
 def details(hosts, event, **wanted):
     """Return the newest line of an event that has what is *wanted*."""
     for process in hosts.processes.values():
-        process.lines.flush()
+        process.log_writer.flush()
     rows = [json.loads(line) for line in hosts.lines]
     found = [
         row
--- a/tests/test_tokenlimits.py
+++ b/tests/test_tokenlimits.py
@@ -279,10 +279,16 @@
     second = network.hosts[ranked[1].name]
     for host in others:
         name = host.members.own.name
-        standing = first.limiting.standing
-        standing.note_asked(name, second=False, strayed=True)
+        placement_share = first.limiter.placement_share
+        placement_share.note_asked(
+            name, is_fallback=False, recent_fallback=True
+        )
         if host is not second:
-            standing = second.limiting.standing
-            standing.note_asked(name, second=True, strayed=True)
-    weights = [host.limiting.standing.find_weight(now) for host in hosts]
+            placement_share = second.limiter.placement_share
+            placement_share.note_asked(
+                name, is_fallback=True, recent_fallback=True
+            )
+    weights = [
+        host.limiter.placement_share.compute_share(now) for host in hosts
+    ]
     assert_that(sum(weights), LessThan(1.0001))
