--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -5,7 +5,7 @@
 
 from hyssopspring.entry.messages import (
     Heartbeat,
-    OpenTicket,
+    PlacementRow,
     RegionLoadMessage,
     ServerCapacityRow,
     ServiceLoad,
@@ -40,7 +40,7 @@
 def heartbeat(tickets):
     """Return a heartbeat that names *tickets* requests."""
     rows = [
-        OpenTicket(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
+        PlacementRow(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
         for n in range(tickets)
     ]
     return Heartbeat(
--- a/src/hyssopspring/entry/coordinator.py
+++ b/src/hyssopspring/entry/coordinator.py
@@ -1,4 +1,4 @@
-"""Have requests placed by the host that places for the region."""
+"""Query the placing host of the region for a server for each request."""
 
 from collections import deque
 from dataclasses import dataclass, replace
@@ -15,47 +15,50 @@
 from .messages import (
     AttemptEndedMessage,
     AttemptStartedMessage,
-    OpenTicket,
     PlacementGrantMessage,
     PlacementQueryMessage,
     PlacementRefusalMessage,
+    PlacementRow,
     WorkspaceLimitMessage,
 )
 
 __all__ = ["ANSWER_TIMEOUT_SECONDS", "PlacementCoordinator"]
 
 ANSWER_TIMEOUT_SECONDS = 0.08
-"""Seconds in which a placing host must answer; a round trip within the
-region takes 1 ms, the rest is for a busy processor."""
+"""Seconds in which a placing host must answer a query. A round trip within
+the region takes 1 ms; the remainder allows for a busy processor."""
 
 MAX_QUERIED_HOSTS = 2
-"""Hosts that are asked one after the other before this one decides."""
+"""Hosts that are queried in turn before this host decides by itself."""
 
 RANKING_CACHE_SECONDS = 0.1
-"""Seconds for which the ranking of placing hosts is kept: to rank the hosts
-of a large region takes as long as to answer a question."""
+"""Seconds for which the ranking of placing hosts is cached, because ranking
+the hosts of a large region takes as long as answering a query."""
 
 MAX_QUERIES_PER_TURN = 4
-"""Questions that are answered before sockets are looked at again: 1 ms."""
+"""Queries that are answered in one turn of the event loop, before sockets
+are polled again; they take 1 ms."""
 
 LATE_ANSWER_SECONDS = 3.0
-"""Seconds for which an answer that came too late is still given back."""
+"""Seconds after the timeout of a query in which a late grant is still
+released at the host that made it."""
 
 IMMEDIATE_GRANT_SECONDS = 0.25
-"""Seconds for which a placement may be used that must be used at once. A
-host that was suspended in between would send what the count has forgotten."""
+"""Seconds for which a grant that must be used at once remains valid. A host
+that was suspended in the meantime would otherwise send a request that the
+placing host no longer counts."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingQuery:
-    """A question that waits for its answer.
+    """A query that waits for its answer.
 
     Attributes:
-        ask: The `Ask`.
-        member: `Member` that was asked.
-        done: Deferred of the answer.
-        asked_at: Time by the clock that counts suspension.
-        timer: Pending call that gives up, or `NOTHING`.
+        ask: The `Ask` that was sent.
+        member: `Member` that was queried.
+        done: Deferred that fires with the decision.
+        asked_at: Time of the query by the clock that includes suspension.
+        timer: Delayed call of the timeout, or `NOTHING`.
     """
 
     ask: Ask
@@ -67,13 +70,13 @@
 
 @dataclass(slots=True, eq=False)
 class OpenPlacement:
-    """A request of this host in progress.
+    """A request of this host that is placed and in progress.
 
     Attributes:
-        placed: The `Placed`.
-        demand: Its `Demand`.
-        placer: Name of the host that placed it.
-        started: Whether its first event has come.
+        placed: The `Placed` decision.
+        demand: The `Demand` of the request.
+        placer: Name of the host that placed the request.
+        started: Whether the first event of the response has arrived.
     """
 
     placed: Placed
@@ -83,20 +86,21 @@
 
 
 class PlacementCoordinator:
-    """Ask, answer asks of others, and keep who placed what current.
+    """Send and answer placement queries, and report progress to placing hosts.
 
     Args:
         members: The `Members`.
-        placer: This host's `Placer`.
+        placer: The `Placer` of this host.
         registry: The `Registry`.
         datagrams: The `DatagramEndpoint`.
-        clock: The runtime's clock.
+        clock: The clock of the reactor.
         boot_clock: Callable that returns the seconds of a clock that also
-            counts while the host is suspended.
+            advances while the host is suspended.
         timeline: The `Timeline`.
         limiter: The `WorkspaceLimiter`.
-        rests: The `Rests` that servers asked this host for.
-        guarded: Called with work whose unexpected failure is logged.
+        rests: The `Rests`: the retry-after pauses that servers requested
+            from this host.
+        guarded: Called with a function to run; logs its unexpected failure.
     """
 
     def __init__(
@@ -139,10 +143,10 @@
         return self.members.own.name
 
     async def place(self, ask):
-        """Return the number and the decision for a request.
+        """Return the number of a request and the decision where it runs.
 
         Args:
-            ask: The `Ask`; its host and number are set here.
+            ask: The `Ask`; this method sets its host and number.
         """
         self.number += 1
         number = self.number
@@ -151,17 +155,17 @@
         return number, self.with_earliest_return(ask, decision)
 
     def exclude_paused(self, ask):
-        """Return an `Ask` that leaves out the servers at rest."""
+        """Return an `Ask` that excludes the servers in a retry-after pause."""
         paused = self.rests.closed(self.clock.seconds())
         if not paused:
             return ask
         return replace(ask, excluded=(*ask.excluded, *paused))
 
     def with_earliest_return(self, ask, decision):
-        """Return a refusal with the end of the first rest.
+        """Return a refusal whose Retry-After is the end of the first pause.
 
-        A placing host does not know which servers this one leaves alone,
-        nor for how long.
+        The placing host has no record of which servers requested a pause
+        from this host, nor for how long.
         """
         if not isinstance(decision, Refused) or decision.servers:
             return decision
@@ -176,15 +180,15 @@
         )
 
     def earliest_pause_end(self, service, excluded=()):
-        """Return the `Rest` that ends first if all servers rest.
+        """Return the `Rest` that ends first if all servers are paused.
 
         Args:
             service: The service.
-            excluded: Identifiers of servers that are of no use anyway,
-                unless they rest.
+            excluded: Identifiers of servers that are excluded for another
+                reason; those that are paused are considered nevertheless.
 
         Returns:
-            `NOTHING` if a server of this region takes requests.
+            `NOTHING` if a server of this region accepts requests.
         """
         now = self.clock.seconds()
         region = self.members.own.region
@@ -198,11 +202,12 @@
         return self.rests.first_back(ids, now)
 
     def retry_after_for_refused(self, service, default):
-        """Return when a caller may come back whom a server turned away.
+        """Return the Retry-After for a caller whose request was rejected.
 
         Args:
-            service: The service that it needs.
-            default: Seconds if not all servers here rest.
+            service: The service of the request.
+            default: Seconds to return unless all servers of the region are
+                paused.
         """
         pause = self.earliest_pause_end(service)
         if pause is NOTHING:
@@ -210,7 +215,11 @@
         return self.rests.wait(pause, self.clock.seconds())
 
     async def query_hosts(self, number, ask):
-        """Return the decision of the first host that answers, or the own."""
+        """Return the first usable decision of a queried host.
+
+        If no host answers in time with a usable decision, this host decides
+        by itself.
+        """
         for position, member in enumerate(self.placers()[:MAX_QUERIED_HOSTS]):
             if member is self.members.own:
                 return self.decide_locally(ask, cold_allowed=True)
@@ -229,7 +238,7 @@
         return self.decide_locally(ask, cold_allowed=False)
 
     def placers(self):
-        """Return the hosts that may place, the best first."""
+        """Return the ranking of placing hosts, the best first."""
         now = self.clock.seconds()
         if (
             self.ranked_at is NOTHING
@@ -240,13 +249,13 @@
         return self.ranked
 
     def decide_locally(self, ask, *, cold_allowed):
-        """Decide by this host's own knowledge."""
+        """Decide from the state of this host and track the placement."""
         decision = self.decide(ask, cold_allowed=cold_allowed)
         self.track_placement(ask.number, ask, decision, self.host)
         return decision
 
     def decide(self, ask, *, cold_allowed):
-        """Return this host's decision, within the limits that it counts."""
+        """Return this host's decision, subject to the workspace limits."""
         return self.limiter.decide(
             ask,
             lambda: self.placer.place(
@@ -255,10 +264,10 @@
         )
 
     def track_placement(self, number, ask, decision, placer):
-        """Remember a placed request until its end.
+        """Track a placed request until it ends.
 
-        One that is sent to another region is remembered if it takes from
-        a limit, which is counted in this one.
+        A request that is sent to another region is tracked if it consumes
+        tokens of a limit, because the limit is counted in this region.
         """
         if isinstance(decision, Placed):
             self.placements[number] = OpenPlacement(
@@ -269,11 +278,11 @@
             self.away_placers[number] = placer
 
     def is_usable(self, decision):
-        """Whether a decision of another host may be used.
+        """Return whether a decision of another host may be used.
 
-        The other host may lag behind this one: a server of which this
-        host has heard that it leaves, or that asked it for rest, gets
-        nothing, whoever placed it.
+        The state of the other host may be older than that of this one. A
+        server that is leaving or paused according to this host gets no
+        request, whichever host placed it.
         """
         if decision is NOTHING:
             return False
@@ -286,9 +295,9 @@
         return not self.rests.is_closed(decision.server_id, now)
 
     def send_query(self, member, ask, *, is_fallback=False):
-        """Ask another host; return a deferred of the decision.
+        """Query another host; return a deferred of the decision.
 
-        It is `NOTHING` if no answer came in time.
+        The deferred fires with `NOTHING` if no answer arrives in time.
         """
         done = defer.Deferred()
         query = PendingQuery(ask, member, done, self.boot_clock())
@@ -306,7 +315,7 @@
 
     @property
     def has_recent_fallback(self):
-        """Whether the first host has left a question unanswered lately."""
+        """Whether the first host left a query unanswered recently."""
         if self.last_fallback_at is NOTHING:
             return False
         return (
@@ -315,7 +324,7 @@
         )
 
     def expire_query(self, number):
-        """Go on without an answer."""
+        """Stop waiting for the answer to a query."""
         query = self.pending_queries.pop(number, None)
         if query is not None:
             query.timer = NOTHING
@@ -326,7 +335,7 @@
             query.done.callback(NOTHING)
 
     def handle_answer(self, message):
-        """Take the answer of a placing host."""
+        """Handle the answer of a placing host."""
         query = self.pending_queries.pop(message.number, None)
         if query is None:
             self.release_late_grant(message)
@@ -341,11 +350,12 @@
         query.done.callback(decision)
 
     def release_late_grant(self, message):
-        """Give a placement back that came too late to be used.
+        """Release a grant that arrived too late to be used.
 
         The host that made it counts the request at a server that never
-        gets it. A busy host answers many late; without this its servers
-        looked loaded by requests that others carried out elsewhere.
+        receives it. A busy host answers many queries late; if the grants
+        were not released, its servers would look loaded by requests that
+        run elsewhere.
         """
         member = self.expired_queries.pop(message.number, None)
         if member is None or not isinstance(message, PlacementGrantMessage):
@@ -354,26 +364,26 @@
             self.release_grant(message.number, message.server_id, member)
 
     def release_grant(self, number, server_id, member):
-        """Tell the host that placed a request that it is not sent."""
+        """Notify the host that placed a request that it is not sent."""
         end = AttemptEndedMessage(
             self.host, number, server_id, int(Finding.UNUSED)
         )
         self.datagrams.send(end, member.control)
 
     def enqueue_query(self, message, member):
-        """Queue the question of another host.
+        """Queue the query of another host.
 
-        The newest is answered first, and one that waited for too long not
-        at all: its host has decided by itself. Answered in the order in
-        which they came, a placing host that cannot keep up answers all of
-        them too late.
+        The newest query is answered first, and one older than the timeout
+        is dropped, because its host has decided by itself. If queries were
+        answered in order of arrival, a placing host that cannot keep up
+        would answer all of them too late.
         """
         if not self.queries:
             self.clock.callLater(0, self.guarded, self.answer_newest)
         self.queries.append((self.clock.seconds(), message, member))
 
     def answer_newest(self):
-        """Answer the newest questions, and leave out those too old."""
+        """Answer the newest queries and drop those past their timeout."""
         self.drop_stale_queries(self.clock.seconds() - ANSWER_TIMEOUT_SECONDS)
         count = min(MAX_QUERIES_PER_TURN, len(self.queries))
         newest = [self.queries.pop() for _ in range(count)]
@@ -383,7 +393,7 @@
             self.answer_query(message, member)
 
     def drop_stale_queries(self, oldest):
-        """Drop the questions that came before the time *oldest*."""
+        """Drop the queries that arrived before the time *oldest*."""
         dropped = 0
         while self.queries and self.queries[0][0] < oldest:
             self.queries.popleft()
@@ -393,7 +403,7 @@
             self.timeline.note(EventKind.UNANSWERED, questions=dropped)
 
     def answer_query(self, message, member):
-        """Place a request of another host and tell it."""
+        """Place a request of another host and send the decision."""
         ask = query_from_message(message)
         is_first = self.placers()[0] is self.members.own
         self.limiter.placement_share.note_asked(
@@ -407,7 +417,7 @@
         )
 
     def note_start(self, number, seconds):
-        """Tell that the first event of a request has come."""
+        """Record and report that a request has received its first event."""
         placement = self.placements.get(number)
         if placement is None:
             return
@@ -420,7 +430,7 @@
         )
 
     def note_end(self, number, finding):
-        """Tell that an attempt has ended, or that a placement is not used."""
+        """Record and report the end of an attempt or an unused placement."""
         if finding is Finding.UNUSED:
             self.note_away_end(number, ran=False)
         placement = self.placements.pop(number, None)
@@ -434,7 +444,12 @@
         self.send_to_placer(placement.placer, message)
 
     def note_away_end(self, number, *, ran):
-        """Tell that an attempt in another region has ended."""
+        """Release the limit tokens of an attempt in another region.
+
+        Args:
+            number: Number of the request.
+            ran: Whether the attempt ran there; its tokens are then used.
+        """
         placer = self.away_placers.pop(number, "")
         if not placer or ran:
             return
@@ -445,7 +460,7 @@
         self.send_to_placer(placer, message)
 
     def handle_end(self, host, number, server_id, finding):
-        """Take account of the end of an attempt of any host."""
+        """Update limits and server load for the end of any host's attempt."""
         self.limiter.note_end(host, number, finding)
         if not server_id:
             return
@@ -461,7 +476,7 @@
             )
 
     def send_to_placer(self, name, message):
-        """Send *message* to the host that placed a request."""
+        """Send *message* to the host that placed a request, if another."""
         if name == self.host:
             return
         member = self.members.others.get(name)
@@ -469,14 +484,14 @@
             self.datagrams.send(message, member.control)
 
     def placer_of(self, number):
-        """Return the name of the host that placed a request."""
+        """Return the name of the host that placed a request, or ``""``."""
         placement = self.placements.get(number)
         return placement.placer if placement is not None else ""
 
-    def open_tickets(self):
-        """Return an `OpenTicket` for each request in progress."""
+    def placement_rows(self):
+        """Return a `PlacementRow` for each placed request in progress."""
         return [
-            OpenTicket(
+            PlacementRow(
                 number,
                 placement.placed.server_id,
                 0 if placement.started else placement.demand.tokens_in,
@@ -490,12 +505,12 @@
 
 
 def query_message(ask, *, is_fallback=False, recent_fallback=False):
-    """Return the message of an `Ask`.
+    """Return the message that carries an `Ask`.
 
     Args:
         ask: The `Ask`.
-        is_fallback: Whether the host that was asked first did not answer.
-        recent_fallback: Whether that happened lately.
+        is_fallback: Whether the host that was queried first did not answer.
+        recent_fallback: Whether the sender has used a fallback recently.
     """
     demand = ask.demand
     return PlacementQueryMessage(
@@ -523,7 +538,7 @@
 
 
 def query_from_message(message):
-    """Return the `Ask` of a message."""
+    """Return the `Ask` that a `PlacementQueryMessage` carries."""
     return Ask(
         host=message.host,
         number=message.number,
@@ -549,7 +564,7 @@
 
 
 def answer_message(number, decision):
-    """Return the message of a decision."""
+    """Return the message that carries a decision."""
     if isinstance(decision, Limited):
         return WorkspaceLimitMessage(
             number,
@@ -585,7 +600,7 @@
 
 
 def decision_from_message(message):
-    """Return the decision of a message."""
+    """Return the decision that an answer carries."""
     if isinstance(message, WorkspaceLimitMessage):
         return Limited(
             message.retry_after,
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -1,41 +1,43 @@
-"""Tell hosts under which requests servers have ended."""
+"""Share between hosts which requests have crashed servers."""
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
 from ..traffic.crashes import End, Suspect
 from .digests import DigestComparison, millis
-from .messages import ServerEndRow, SuspectRow, SuspectsMessage
+from .messages import ServerCrashRow, SuspectRow, SuspectsMessage
 
 __all__ = ["CrashSharing", "suspect_from_row", "suspect_row"]
 
 AGGREGATING_HOSTS = 3
-"""Hosts of a region that hear of each first end: those that place, and that
-others report to. All others hear of a request from its second end on."""
+"""Hosts of a region that receive the first crash of a request: the placing
+hosts, to which the others report. All other hosts receive a request from its
+second crash on."""
 
 MAX_ROWS_PER_DATAGRAM = 100
-"""Requests in one datagram, at most 30 KB of them."""
+"""Rows of requests in one datagram, which is then at most 30 KB long."""
 
 EXPIRE_INTERVAL_SECONDS = 5.0
-"""Seconds between looks for what is too old; to look takes 2 ms at most."""
+"""Seconds between two removals of expired crashes; each takes at most 2 ms."""
 
 
 class CrashSharing:
-    """Keep what hosts know of such requests the same.
+    """Replicate the records of requests that crash servers on all hosts.
 
-    News is sent on at once, over the hosts that place to other regions, so
-    that a region cut off from one hears it by way of a third. Heartbeats
-    bear a digest of what a host knows; a host that was cut off, or has just
-    started, is told all by the first that hears another digest from it.
+    Changes are forwarded at once. Placing hosts forward them to other
+    regions, so that a region that is disconnected from one region receives
+    them through a third. Heartbeats carry a digest of the records of a host;
+    a host that was disconnected, or has just started, receives all records
+    from the first host that sees a different digest.
 
     Args:
         crashes: The `Crashes`.
         members: The `Members`.
         datagrams: The `DatagramEndpoint`.
-        clock: The runtime's clock.
+        clock: The clock of the reactor.
         timeline: The `Timeline`.
-        far_contacts: Called for the hosts of other regions to tell, none if
-            this host does not place.
-        save: Called with a `Suspect` of which the store is to know.
+        far_contacts: Called for the hosts of other regions to notify; empty
+            if this host does not place.
+        save: Called with a `Suspect` to write to the store.
     """
 
     def __init__(
@@ -52,14 +54,15 @@
         self.expire_due = 0.0
 
     def server_ended(self, fingerprint, caller, server, peer_ip=""):
-        """Note that a server ended here as a request began on it.
+        """Record that a server crashed as a request of this host began on it.
 
         Args:
-            fingerprint: The request.
-            caller: Address that it came from.
-            server: The start of a server.
-            peer_ip: Address of the host that had sent the request on, or
-                an empty string. It decides on the next try, at once.
+            fingerprint: Fingerprint of the request.
+            caller: Address of the caller.
+            server: The start of the server.
+            peer_ip: IP address of the host that forwarded the request, or
+                an empty string. That host is notified at once, because it
+                immediately decides on the next attempt.
         """
         now = self.clock.seconds()
         end = End(server, now, self.members.own.name, caller)
@@ -73,7 +76,7 @@
             self.save(suspect)
 
     def ran_well(self, fingerprint, caller):
-        """Note that a request of a caller has run well on a server."""
+        """Record that a request of a caller has succeeded on a server."""
         now = self.clock.seconds()
         if self.crashes.note_run(fingerprint, caller, now):
             self.announce([self.crashes.suspects[fingerprint]], now)
@@ -84,7 +87,7 @@
         return self.crashes.verdict(fingerprint, caller, now)
 
     def evidence(self, fingerprint):
-        """Return the ends under a request, in words for a log line."""
+        """Return a description of a request's crashes for a log line."""
         now = self.clock.seconds()
         suspect = self.crashes.suspects.get(fingerprint)
         ends = suspect.ends.values() if suspect is not None else ()
@@ -94,7 +97,7 @@
         )
 
     def tick(self):
-        """Forget what is old, and block what has been found."""
+        """Expire old records and block the requests that are at fault."""
         now = self.clock.seconds()
         if now >= self.expire_due:
             self.expire_due = now + EXPIRE_INTERVAL_SECONDS
@@ -105,7 +108,7 @@
             self.save(suspect)
 
     def note_blocked(self, suspect):
-        """Put a blocked request on the time line."""
+        """Log that a request is blocked."""
         self.timeline.note(
             EventKind.REQUEST_BLOCKED,
             fingerprint=suspect.fingerprint,
@@ -113,12 +116,12 @@
         )
 
     def announce(self, suspects, now, *, region=True):
-        """Send news on.
+        """Send changed records to other hosts.
 
         Args:
-            suspects: Each `Suspect`.
-            now: The time.
-            region: Whether the hosts of this region are to hear it.
+            suspects: List of `Suspect`.
+            now: Current time of the clock.
+            region: Whether to send them to hosts of this region as well.
         """
         message = self.message(suspects, now)
         self.datagrams.send_all(message, self.far_contacts())
@@ -137,7 +140,7 @@
         self.datagrams.send_all(message, in_region)
 
     def announce_to_ip(self, suspects, ip, now):
-        """Send news to the host with an address."""
+        """Send changed records to the host with an IP address."""
         for member in self.members.others.values():
             if member.control.rpartition(":")[0] == ip:
                 self.datagrams.send(
@@ -145,7 +148,7 @@
                 )
 
     def message(self, suspects, now):
-        """Return the message on *suspects*."""
+        """Return the message that carries *suspects*."""
         return SuspectsMessage(
             self.members.own.name,
             [
@@ -155,14 +158,15 @@
         )
 
     def merge(self, message):
-        """Take over what another host tells, and send on what is news."""
+        """Merge records that another host sent and forward the changes."""
         now = self.clock.seconds()
         changed = []
         for row in message.rows:
             received = suspect_from_row(row, now)
             if self.crashes.merge(received, now):
                 changed.append(received.fingerprint)
-        # One of them may have been forgotten for want of room by now.
+        # The table may be full, and a later record may have evicted an
+        # earlier one of the same message.
         suspects = self.crashes.suspects
         changed = [suspects[one] for one in changed if one in suspects]
         if not changed:
@@ -177,7 +181,7 @@
         self.announce(changed, now, region=not in_region)
 
     def compare(self, member, digest):
-        """Tell a host all if it knows something else."""
+        """Send all records to a host if its digest differs."""
         own = self.crashes.digest
         if not self.comparison.must_tell(member.name, own, digest):
             return
@@ -187,19 +191,19 @@
             self.datagrams.send(message, member.control)
 
     def has_suspects(self):
-        """Whether any request is to be looked at at all."""
+        """Return whether there are any records to check requests against."""
         return bool(self.crashes.suspects)
 
 
 def suspect_row(suspect, now):
-    """Return the `SuspectRow` of a `Suspect`, in ages."""
+    """Return the `SuspectRow` of a `Suspect`, with its times as ages."""
     cleared = -1
     if suspect.cleared_at is not NOTHING:
         cleared = millis(now - suspect.cleared_at)
     return SuspectRow(
         suspect.fingerprint,
         [
-            ServerEndRow(
+            ServerCrashRow(
                 end.server, millis(now - end.at), end.host, end.caller
             )
             for end in suspect.ends.values()
@@ -210,7 +214,7 @@
 
 
 def suspect_from_row(row, now):
-    """Return the `Suspect` of a `SuspectRow`, in times of this host."""
+    """Return the `Suspect` of a row, with its times by the local clock."""
     ends = {
         end.server: End(
             end.server, now - end.age_ms / 1000, end.host, end.caller
--- a/src/hyssopspring/entry/crashstore.py
+++ b/src/hyssopspring/entry/crashstore.py
@@ -1,7 +1,7 @@
-"""Keep in the store under which requests servers have ended.
+"""Persist the records of requests that crash servers.
 
-A host that starts after all others have ended would else know nothing, and
-the request would end three more servers.
+Without them, a host that starts after all others have stopped would have no
+records, and the request would crash three more servers.
 """
 
 import msgspec
@@ -20,10 +20,11 @@
 
 
 class StoredSuspect(msgspec.Struct, frozen=True):
-    """What the store holds of a request.
+    """Stored record of a request.
 
     Attributes:
-        written_ms: Unix time of the writing, to which ages refer.
+        written_ms: Unix time of the write in milliseconds, to which the
+            ages in the row refer.
         row: The `SuspectRow`.
     """
 
@@ -35,16 +36,17 @@
 
 
 class CrashStore:
-    """Write such requests to the store, and read them at a start.
+    """Write the records of requests to the store and load them at a start.
 
-    Only from the second end on is one written, twice or three times in
-    all, under a lease, so that the store forgets it when hosts do.
+    A request is written from its second crash on, two or three times in
+    total. It is written under a lease, so that it expires in the store when
+    it expires at the hosts.
 
     Args:
         store: The client of the store.
         crashes: The `Crashes`.
-        clock: The runtime's clock.
-        wall: Callable that returns the wall clock in seconds.
+        clock: The clock of the reactor.
+        wall_clock: Callable that returns the Unix time in seconds.
         timeline: The `Timeline`.
         spawn: Called with a coroutine to run.
     """
@@ -60,18 +62,18 @@
         self.saving = False
 
     def save(self, suspect):
-        """Write a request at once, and again until the store has it."""
+        """Write a request at once, and retry until the store accepts it."""
         self.pending[suspect.fingerprint] = suspect
         self.tick()
 
     def tick(self):
-        """Write what the store does not have yet."""
+        """Write the requests that are not in the store yet."""
         if self.pending and not self.saving:
             self.saving = True
             self.spawn(self.save_all())
 
     async def save_all(self):
-        """Write each request that waits; stop where the store fails."""
+        """Write all pending requests; stop at the first failure."""
         try:
             while self.pending:
                 fingerprint = next(iter(self.pending))
@@ -83,7 +85,12 @@
             self.saving = False
 
     async def write(self, suspect):
-        """Write one request under a lease; return whether it stands."""
+        """Write one request under a lease.
+
+        Returns:
+            Whether it needs no retry: the write succeeded, or the record is
+            about to expire.
+        """
         now = self.clock.seconds()
         remaining = KEPT - (now - suspect.newest)
         if remaining < 1.0 or not suspect.ends:
@@ -106,7 +113,7 @@
         return True
 
     def note_unsaved(self, suspect, why):
-        """Put a failed writing on the time line; it is tried again."""
+        """Log a failed write, which is retried."""
         self.timeline.note(
             EventKind.CRASH_UNSAVED,
             fingerprint=suspect.fingerprint,
@@ -114,11 +121,20 @@
         )
 
     def load(self, entry):
-        """Take over a request that the store holds."""
+        """Merge a request that is read from the store.
+
+        Args:
+            entry: Entry of the store.
+
+        Raises:
+            ProtocolError: The value cannot be decoded.
+        """
         now = self.clock.seconds()
         try:
             stored = _DECODER.decode(entry.value)
         except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-            raise ProtocolError(f"{entry.key}: {problem}") from None
+            raise ProtocolError(
+                f"invalid record at {entry.key}: {problem}"
+            ) from None
         age = max(0.0, self.wall_clock() - stored.written_ms / 1000)
         self.crashes.merge(suspect_from_row(stored.row, now - age), now)
--- a/src/hyssopspring/entry/datagrams.py
+++ b/src/hyssopspring/entry/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between hosts over UDP."""
+"""UDP transport for the messages between hosts."""
 
 from twisted.internet import protocol
 
@@ -9,16 +9,19 @@
 __all__ = ["MAX_DATAGRAM_BYTES", "DatagramEndpoint"]
 
 MAX_DATAGRAM_BYTES = 60_000
-"""Bytes of the longest datagram that is sent or taken. The configuration
-of a large deployment fits; a larger one is read as a whole copy."""
+"""Size limit, in bytes, of the datagrams that are sent and received. The
+configuration of a large deployment fits into one; hosts fetch a larger
+configuration as a complete copy instead."""
 
 
 class DatagramEndpoint(protocol.DatagramProtocol):
-    """Send and receive the messages of `messages`.
+    """Send and receive the messages of the module `messages`.
 
     Args:
-        on_message: Called with each message and its sender's IP address.
-        on_rejected: Called with the reason when a datagram is no message.
+        on_message: Called with each message and the IP address of its
+            sender.
+        on_rejected: Called with the reason when a datagram cannot be decoded
+            or sent.
     """
 
     def __init__(self, on_message, on_rejected):
@@ -28,7 +31,10 @@
         self.bytes_sent = 0
 
     def datagramReceived(self, datagram, addr):
-        """Hand one message over; a bad one harms no other."""
+        """Decode a datagram and deliver its message.
+
+        A malformed datagram is reported and does not affect others.
+        """
         try:
             message = decode_message(datagram)
         except ProtocolError as problem:
@@ -37,25 +43,27 @@
         self.on_message(message, addr[0])
 
     def send(self, message, address):
-        """Send *message* to ``ip:port``; it may be lost on its way."""
+        """Send *message* to ``ip:port`` without a guarantee of delivery."""
         self.send_bytes(encode_message(message), address)
 
     def send_all(self, message, members):
-        """Send *message* to each of *members*, encoded once."""
+        """Encode *message* once and send it to each of *members*."""
         data = encode_message(message)
         for member in members:
             self.send_bytes(data, member.control)
 
     def send_bytes(self, data, address):
-        """Send one datagram to ``ip:port``."""
+        """Send one datagram to ``ip:port``, unless it is too long."""
         if self.transport is None:
             return
         if len(data) > MAX_DATAGRAM_BYTES:
-            self.on_rejected(f"send to {address}: {len(data)} bytes")
+            self.on_rejected(
+                f"datagram to {address} is too long: {len(data)} bytes"
+            )
             return
         self.sent += 1
         self.bytes_sent += len(data)
         try:
             self.transport.write(data, split_address(address))
         except OSError as problem:
-            self.on_rejected(f"send to {address}: {problem}")
+            self.on_rejected(f"cannot send a datagram to {address}: {problem}")
--- a/src/hyssopspring/entry/hostentries.py
+++ b/src/hyssopspring/entry/hostentries.py
@@ -1,4 +1,4 @@
-"""What a host writes of itself into the store, and passes on."""
+"""Entries that describe hosts, in the store and in messages."""
 
 import msgspec
 
@@ -20,17 +20,17 @@
 
 
 class HostEntry(msgspec.Struct, frozen=True):
-    """What a host writes of itself into the store.
+    """Entry that a host writes about itself to the store.
 
     Attributes:
-        host: Its name.
-        region: Its region.
-        data_centre: Its data centre.
+        host: Name of the host.
+        region: Region of the host.
+        data_centre: Data centre of the host.
         front: Address for callers.
         control: Address for datagrams.
         relay: Address for forwarded requests.
-        capacity: Processor share.
-        incarnation: Number of its start.
+        capacity: Share of the processor that the host may use.
+        incarnation: Number of the start of the host.
     """
 
     host: str
@@ -47,20 +47,20 @@
 
 
 def decode_host(value):
-    """Return the `Member` of a host's entry.
+    """Return the `Member` that an encoded host entry describes.
 
     Raises:
-        ProtocolError: It is no entry.
+        ProtocolError: The value cannot be decoded.
     """
     try:
         row = _HOST.decode(value)
     except msgspec.DecodeError as problem:
-        raise ProtocolError(f"entry of a host: {problem}") from None
+        raise ProtocolError(f"invalid host entry: {problem}") from None
     return member_from_entry(row)
 
 
 def member_from_entry(row):
-    """Return the `Member` that a `HostEntry` or a heartbeat describes."""
+    """Return the `Member` that a `HostEntry` or `Heartbeat` describes."""
     return Member(
         name=row.host,
         region=row.region,
@@ -74,7 +74,7 @@
 
 
 def encode_host(member):
-    """Return the bytes of a host's entry."""
+    """Return the encoded host entry of a `Member`."""
     return msgspec.json.encode(entry_from_member(member))
 
 
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces, counted where requests are placed."""
+"""Rate limits of workspaces, enforced where requests are placed."""
 
 from ..core.hashing import short_id
 from ..core.sentinels import NOTHING
@@ -10,39 +10,42 @@
 __all__ = ["TRANSFER_INTERVAL_SECONDS", "PlacementShare", "WorkspaceLimiter"]
 
 TRANSFER_INTERVAL_SECONDS = 0.3
-"""Seconds between two questions for tokens of other regions."""
+"""Seconds between two requests for tokens of other regions."""
 
 RECENT_FALLBACK_SECONDS = 1.0
-"""Seconds for which a host counts as one that not only asks the first."""
+"""Seconds for which a host counts as using a fallback after it last queried
+another host than the first."""
 
 FIRST_HOST_SHARE = 0.4
 SECOND_HOST_SHARE = 0.4
 LOCAL_SHARE = 0.2
-"""Parts of a host that asks the first, the second and nobody in turn, as
-some of its questions are answered too late. They add up to 1."""
+"""Shares of the requests of a host with recent fallbacks that the first
+placing host, the second one and the host itself place. Such a host queries
+the first and then the second and finally decides by itself, because some of
+its queries are answered too late. The shares add up to 1."""
 
 FIRST_HOST_SILENCE_SECONDS = 0.75
-"""Seconds without a heartbeat after which the second counts for the first
-as well: the first speaks to it twice a second."""
+"""Seconds without a heartbeat after which the second placing host assumes
+the share of the first as well; the first sends two heartbeats a second."""
 
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 5.0
-"""Bounds of the time after which to come back, in seconds."""
+"""Bounds of the Retry-After of a limited request, in seconds."""
 
 SHARE_CACHE_SECONDS = 0.1
-"""Seconds for which the part of the region that counts here is kept."""
+"""Seconds for which the placement share of this host is cached."""
 
 RETRY_AFTER_JITTER = 0.5
-"""Part by which that time is drawn longer, so that callers who were refused
-together do not return together."""
+"""Largest fraction by which the Retry-After is randomly extended, so that
+callers who were refused together do not retry together."""
 
 
 class PlacementShare:
-    """Which part of the region's hosts count on this one to place.
+    """Estimate the share of the region's placements that this host makes.
 
     Args:
         members: The `Members`.
-        clock: The runtime's clock.
+        clock: The clock of the reactor.
     """
 
     def __init__(self, members, clock):
@@ -54,12 +57,13 @@
         self.cached_at = -SHARE_CACHE_SECONDS
 
     def note_asked(self, host, *, is_fallback, recent_fallback):
-        """Note that another host has asked this one.
+        """Record a placement query of another host.
 
         Args:
-            host: Its name.
-            is_fallback: Whether the host that was asked first did not answer.
-            recent_fallback: Whether that happened to it lately.
+            host: Name of the host.
+            is_fallback: Whether the host that it queried first did not
+                answer.
+            recent_fallback: Whether it has used a fallback recently.
         """
         now = self.clock.seconds()
         if is_fallback:
@@ -68,11 +72,12 @@
             self.recent_fallback_at[host] = now
 
     def share(self):
-        """Return the part, from 0 to 1, this host included.
+        """Return the share, from 0 to 1, including that of this host.
 
-        The parts of hosts that place beside each other add up to 1 at
-        most, since each host counts once in all. For a short time after a
-        host has begun to ask elsewhere they may not.
+        The shares of hosts that place at the same time add up to 1 at
+        most, since the requests of each host count once in total. The sum
+        may exceed 1 for a short time after a host begins to query another
+        placing host.
         """
         now = self.clock.seconds()
         if now - self.cached_at >= SHARE_CACHE_SECONDS:
@@ -81,7 +86,7 @@
         return self.cached_share
 
     def compute_share(self, now):
-        """Return the part as it is now."""
+        """Compute the current share."""
         own = self.members.own
         others = [
             member
@@ -105,7 +110,7 @@
         return (own_share + sum(shares)) / (1 + len(others))
 
     def share_as_first_host(self, member, now):
-        """Return the part of a host that counts on this one as the first."""
+        """Return the share of a host for which this one places first."""
         if member.wants is not Report.ROSTERS or not member.is_reporting(now):
             return 0.0
         has_recent_fallback = is_recent(self.recent_fallback_at, member, now)
@@ -113,13 +118,13 @@
 
 
 def is_recent(times, member, now):
-    """Whether the time noted for a host is a short while ago."""
+    """Return whether the time recorded for a host is recent."""
     at = times.get(member.name, NOTHING)
     return at is not NOTHING and now - at < RECENT_FALLBACK_SECONDS
 
 
 class WorkspaceLimiter:
-    """Let requests pass within their limits, and share them among regions.
+    """Enforce workspace limits and transfer unused tokens between regions.
 
     Args:
         limits: The `TokenLimits`.
@@ -127,11 +132,12 @@
         members: The `Members`.
         datagrams: The `DatagramEndpoint`.
         clock: Callable that returns the seconds of a clock that also
-            counts while the host is suspended.
-        runtime: The runtime's clock, by which hosts are heard.
+            advances while the host is suspended.
+        runtime: The clock of the reactor, which times the heartbeats of
+            hosts.
         rng: Random number generator.
         placement_share: The `PlacementShare`.
-        far_hosts: Called for the hosts of other regions to ask.
+        far_hosts: Called for the hosts of other regions to ask for tokens.
     """
 
     def __init__(
@@ -166,11 +172,12 @@
         return NOTHING if workspace is None else workspace.limit
 
     def decide(self, ask, decide):
-        """Return a `Limited`, or what *decide* decides.
+        """Return a `Limited`, or the result of *decide*.
 
         Args:
             ask: The `Ask`.
-            decide: Called for a decision if the limit allows the request.
+            decide: Called to make the decision if the limit allows the
+                request.
         """
         limit = self.limit_of(ask.workspace) if ask.cost else NOTHING
         if limit is NOTHING:
@@ -187,7 +194,7 @@
         return decision
 
     def limited_decision(self, shortage):
-        """Return the `Limited` for a `Shortage`."""
+        """Return the `Limited` decision for a `Shortage`."""
         spread = 1.0 + RETRY_AFTER_JITTER * self.rng.random()
         seconds = shortage.seconds * spread
         return Limited(
@@ -201,14 +208,14 @@
         )
 
     def note_end(self, host, number, finding):
-        """Give tokens back if the request has not run."""
+        """Refund the tokens of a request that has not run."""
         if finding in NOT_RUN:
             self.limits.give_back((host, number))
         else:
             self.limits.forget_charge((host, number))
 
     def tick(self):
-        """Ask other regions for what is missing here, if this host places."""
+        """Request missing tokens from other regions if this host places."""
         if not self.keeper.current or not self.keeper.current.workspaces:
             return
         now = self.clock()
@@ -229,19 +236,19 @@
         self.datagrams.send_all(request, self.transfer_sources())
 
     def is_first(self):
-        """Whether this host places for its region."""
+        """Return whether this host is the first placing host of its region."""
         placers = self.members.placers(self.runtime.seconds())
         return placers[0] is self.members.own
 
     def transfer_sources(self):
-        """Return the host to ask in each other region."""
+        """Return the host to ask for tokens in each other region."""
         found = {}
         for member in self.far_hosts():
             found.setdefault(member.region, member)
         return list(found.values())
 
     def workspace_names(self):
-        """Return the workspaces by short name."""
+        """Return the names of the workspaces by short identifier."""
         current = self.keeper.current
         if current and current.version != self.version:
             self.version = current.version
@@ -251,7 +258,7 @@
         return self.names_by_id
 
     def handle_transfer_request(self, message):
-        """Give what this region does not need, if this host places."""
+        """Transfer tokens that this region can spare, if this host places."""
         member = self.members.others.get(message.host)
         if member is None or not self.is_first():
             return
@@ -273,7 +280,7 @@
             self.datagrams.send(answer, member.control)
 
     def handle_transfer(self, message):
-        """Use what another region gives."""
+        """Add the tokens that another region has transferred."""
         now = self.clock()
         for identifier, tokens in message.rows:
             name = self.workspace_names().get(identifier, "")
--- a/src/hyssopspring/entry/logwriter.py
+++ b/src/hyssopspring/entry/logwriter.py
@@ -1,4 +1,4 @@
-"""Structured log lines of a time line, bounded and never waited for."""
+"""Rate-limited, non-blocking output of events as structured log lines."""
 
 from collections import deque
 
@@ -9,17 +9,19 @@
 __all__ = ["LogWriter"]
 
 LINES_PER_SECOND = 150
-"""Lines a second that are written; one busy host decides about 60 times a
-second, and twice as often while requests fail."""
+"""Largest number of lines a second. One busy host makes about 60 decisions
+a second, and twice as many while requests fail."""
 
 BURST_LINES = 300
-"""Lines that may come at once after a quiet time."""
+"""Lines that may be written in a burst after a quiet period; the capacity
+of the token bucket."""
 
 ROUTINE_RESERVE = 0.5
-"""Part of the burst that routine lines leave for refusals and errors."""
+"""Fraction of the burst that is reserved for refusals and errors and not
+available to routine lines."""
 
 MAX_QUEUED_LINES = 2_000
-"""Lines that wait for a reader that has stopped reading."""
+"""Lines that are queued while the reader of the log does not read."""
 
 ROUTINE_EVENTS = frozenset(
     kind.number
@@ -35,16 +37,17 @@
 
 
 class LogWriter:
-    """Write one JSON line for each event.
+    """Event listener that writes one JSON line for each event.
 
-    A log that grows with the load would cost more than the requests that
-    it tells of, and a full pipe would stop the process. What exceeds the
-    rate is counted and the count is written; routine lines go first.
+    A log that grows with the load would cost more than the requests that it
+    records, and writing to a full pipe would block the process. Lines that
+    exceed the rate are dropped, routine lines first, and the number of
+    dropped lines is logged.
 
     Args:
-        clock: The runtime's clock.
-        write: Called with bytes; returns how many were taken, or raises
-            `BlockingIOError` if none could be.
+        clock: The clock of the reactor.
+        write: Called with bytes; returns how many of them were written, or
+            raises `BlockingIOError` if none could be.
     """
 
     def __init__(self, clock, write):
@@ -58,7 +61,7 @@
         self.unwritten = b""
 
     def __call__(self, event):
-        """Take one event."""
+        """Queue the line of one event, or drop it."""
         if not self.take_token(event.number in ROUTINE_EVENTS):
             self.lines_dropped += 1
             return
@@ -78,7 +81,15 @@
             self.lines_dropped += 1
 
     def take_token(self, routine):
-        """Take one line from the rate; return whether there was one."""
+        """Take one token from the bucket for a line.
+
+        Args:
+            routine: Whether the line is routine; such a line must leave the
+                reserve for refusals and errors.
+
+        Returns:
+            Whether a token was available.
+        """
         now = self.clock.seconds()
         gained = (now - self.refilled_at) * LINES_PER_SECOND
         self.tokens = min(float(BURST_LINES), self.tokens + gained)
@@ -90,7 +101,7 @@
         return True
 
     def flush(self):
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the queued lines as the reader accepts."""
         if self.lines_dropped:
             dropped, self.lines_dropped = self.lines_dropped, 0
             self.queued.append(
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -182,7 +182,7 @@
 
         The first of them tells of all others.
         """
-        tickets = self.coordinator.open_tickets()
+        tickets = self.coordinator.placement_rows()
         reports = (
             (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
             (
@@ -267,7 +267,7 @@
 
         Args:
             report: The `Report`.
-            tickets: `OpenTicket` of each request in progress, or None.
+            tickets: `PlacementRow` of each request in progress, or None.
         """
         own = self.members.own
         return Heartbeat(
@@ -360,7 +360,7 @@
             self.changed(member)
         self.sharing.compare(member, message.crashes)
         self.notices.compare(member, message.notices)
-        if message.tickets is not None:
+        if message.placements is not None:
             self.take_tickets(message, now)
 
     def tell_leaving(self, member, now):
@@ -395,11 +395,11 @@
 
     def take_tickets(self, message, now):
         """Make the work of a host agree with what it says."""
-        numbers = {ticket.number for ticket in message.tickets}
+        numbers = {ticket.number for ticket in message.placements}
         self.placer.keep_only(
             message.host, numbers, now, older_than=UNCONFIRMED
         )
-        for row in message.tickets:
+        for row in message.placements:
             self.placer.adopt(ticket_of(message.host, row, now), now)
 
     def take_ask(self, message):
@@ -462,14 +462,14 @@
     rooms = [
         Room(
             tuple(millis / 1000 for millis in told.waits),
-            told.used / 100,
+            told.occupancy / 100,
             told.token_micros / 1e6,
             told.spare if told.spare >= 0 else NOTHING,
         )
-        for told in load.rooms
+        for told in load.capacities
         if len(told.waits) == RANKS
     ]
-    return RegionLoad(load.slots, tuple(rooms), tuple(load.read))
+    return RegionLoad(load.slots, tuple(rooms), tuple(load.prefilled_parts))
 
 
 def ticket_of(host, row, now):
@@ -479,7 +479,7 @@
         number=row.number,
         server_id=row.server_id,
         placed_at=now,
-        fresh_tokens=row.fresh_tokens,
+        fresh_tokens=row.uncached_tokens,
         tokens=row.tokens,
         tokens_out=row.tokens_out,
         urgency=row.urgency,
--- a/src/hyssopspring/entry/messages.py
+++ b/src/hyssopspring/entry/messages.py
@@ -1,7 +1,8 @@
-"""Datagrams between hosts, and how they are encoded.
+"""Messages between hosts and their encoding.
 
-Each message stands for itself: it may be lost, doubled, late or out of
-order. Times in them are durations, as clocks differ between hosts.
+Each message is self-contained, because a datagram may be lost, duplicated,
+delayed or reordered. Messages carry durations instead of timestamps, because
+clocks differ between hosts.
 """
 
 import msgspec
@@ -26,7 +27,7 @@
     "Roster",
     "RosterRow",
     "ServerCapacityRow",
-    "ServerEndRow",
+    "ServerCrashRow",
     "ServerNoticesMessage",
     "StoreChange",
     "StoredItem",
@@ -45,31 +46,31 @@
 class PlacementQueryMessage(
     msgspec.Struct, array_like=True, tag="a", frozen=True
 ):
-    """Ask a host to place a request.
+    """Request that a host places a request.
 
     Attributes:
-        host: Host that carries it out.
-        number: The host's number for it.
-        service: Service that it needs.
+        host: Host that sends the request to a server.
+        number: Number of the request at that host.
+        service: Service of the request.
         parts: Identifier and tokens of each part of the prompt.
         tokens_in: Tokens of the prompt.
         tokens_out: Tokens of the answer.
-        answer_within: Seconds in which the answer must be whole.
-        time_left: Seconds in which it would meet its objective.
-        patience: Seconds in which an answer is of use.
-        priority: Rank among the routes of the service.
-        excluded: Servers that it must not go to.
+        answer_within: Seconds in which the answer must be complete.
+        time_left: Seconds in which the request meets its latency objective.
+        patience: Seconds after which the caller no longer needs an answer.
+        priority: Priority among the routes of the service.
+        excluded: Identifiers of servers that must not get the request.
         regions: Regions that may serve it; empty for all.
-        avoided: Regions that have refused it already.
+        avoided: Regions that have already refused it.
         may_leave: Whether it may be sent to another region.
-        begun: Whether its caller holds a part of the answer already.
+        begun: Whether its caller has already received a part of the answer.
         apart: Fingerprint of a request that must run apart from others
             like it, or an empty string.
-        workspace: Name of the workspace whose limit it takes from, or an
+        workspace: Name of the workspace whose limit it consumes, or an
             empty string.
-        cost: Tokens that it takes from it.
-        is_fallback: Whether the host that was asked first did not answer.
-        recent_fallback: Whether that happened to the sender lately.
+        cost: Tokens of the limit that it consumes.
+        is_fallback: Whether the host that was queried first did not answer.
+        recent_fallback: Whether the sender has used a fallback recently.
     """
 
     host: str
@@ -97,19 +98,19 @@
 class PlacementGrantMessage(
     msgspec.Struct, array_like=True, tag="g", frozen=True
 ):
-    """Answer an ask with a server or a region.
+    """Answer to a query: the server or region for a request.
 
     Attributes:
-        number: The asking host's number.
-        server_id: The server, or an empty string.
-        address: Its address.
-        urgency: Rank for the server.
-        predicted: Seconds to the answer or first event.
+        number: Number of the request at the querying host.
+        server_id: Identifier of the server, or an empty string.
+        address: Address of the server.
+        urgency: Rank of the request at the server.
+        predicted: Predicted seconds to the answer or first event.
         at_once: Whether the grant must be used at once.
-        region: Region to send it to, or an empty string.
+        region: Region to send the request to, or an empty string.
         copy_from: Address of a server that has cached more of the prompt,
             or an empty string.
-        evidence: What named a limit of the server, for a log line.
+        evidence: Source of the limit that a server gave, for a log line.
     """
 
     number: int
@@ -126,14 +127,15 @@
 class PlacementRefusalMessage(
     msgspec.Struct, array_like=True, tag="r", frozen=True
 ):
-    """Answer an ask with a refusal.
+    """Answer to a query: no server can take the request.
 
     Attributes:
-        number: The asking host's number.
-        retry_after: Seconds after which there should be room.
-        predicted: Seconds to an answer if it were admitted.
-        servers: Servers of the region that could take requests.
-        evidence: What named the limit that holds it back, for a log line.
+        number: Number of the request at the querying host.
+        retry_after: Seconds after which a server should have capacity.
+        predicted: Predicted seconds to an answer if it were admitted.
+        servers: Number of servers of the region that accept requests.
+        evidence: Source of the limit that holds the request back, for a log
+            line.
     """
 
     number: int
@@ -146,15 +148,15 @@
 class WorkspaceLimitMessage(
     msgspec.Struct, array_like=True, tag="t", frozen=True
 ):
-    """Answer an ask: the workspace has reached its limit.
+    """Answer to a query: the workspace has reached its limit.
 
     Attributes:
-        number: The asking host's number.
-        retry_after: Seconds after which there should be enough.
-        host: Host that counts.
-        units: Units of the limit that it may use.
+        number: Number of the request at the querying host.
+        retry_after: Seconds after which enough tokens should be available.
+        host: Host that enforces the limit.
+        units: Units of the limit that this host may use.
         level: Tokens that were left.
-        demand: Tokens a second that are asked for there.
+        demand: Tokens a second that are requested at this host.
     """
 
     number: int
@@ -168,12 +170,12 @@
 class TokenTransferRequest(
     msgspec.Struct, array_like=True, tag="o", frozen=True
 ):
-    """Ask for tokens of limits that the other region does not need.
+    """Request for limit tokens that another region does not need.
 
     Attributes:
-        host: Host that counts for its region.
-        stamp: Milliseconds of its own clock, to be sent back.
-        rows: Short name of each workspace, and the tokens wanted.
+        host: Host that enforces the limits of its region.
+        stamp: Milliseconds of the sender's clock, returned in the answer.
+        rows: Short identifier of each workspace, and the tokens wanted.
     """
 
     host: str
@@ -182,12 +184,12 @@
 
 
 class TokenTransfer(msgspec.Struct, array_like=True, tag="p", frozen=True):
-    """Hand tokens of limits over to another region.
+    """Transfer of limit tokens to another region.
 
     Attributes:
-        host: Host that gives them, and has them no more.
-        stamp: That of the question.
-        rows: Short name of each workspace, and the tokens.
+        host: Host that gives the tokens; it has already deducted them.
+        stamp: Stamp of the request.
+        rows: Short identifier of each workspace, and the tokens.
     """
 
     host: str
@@ -198,12 +200,12 @@
 class AttemptStartedMessage(
     msgspec.Struct, array_like=True, tag="s", frozen=True
 ):
-    """Tell the placing host that the first event has come.
+    """Report to the placing host that the first event has arrived.
 
     Attributes:
-        host: Host that carries the request out.
-        number: Its number.
-        seconds: Seconds since it was sent.
+        host: Host that sent the request to a server.
+        number: Number of the request at that host.
+        seconds: Seconds since the request was sent.
     """
 
     host: str
@@ -214,12 +216,12 @@
 class AttemptEndedMessage(
     msgspec.Struct, array_like=True, tag="e", frozen=True
 ):
-    """Tell the placing host that an attempt has ended.
+    """Report to the placing host that an attempt has ended.
 
     Attributes:
-        host: Host that carried it out.
-        number: Its number.
-        server_id: The server.
+        host: Host that made the attempt.
+        number: Number of the request at that host.
+        server_id: Identifier of the server.
         finding: Number of the `Finding`.
     """
 
@@ -229,22 +231,22 @@
     finding: int
 
 
-class OpenTicket(msgspec.Struct, array_like=True, frozen=True):
-    """A request in progress, as a heartbeat names it.
+class PlacementRow(msgspec.Struct, array_like=True, frozen=True):
+    """Request in progress, as a heartbeat reports it.
 
     Attributes:
-        number: The host's number for it.
-        server_id: Its server.
-        fresh_tokens: Tokens to be read.
-        tokens: Memory that it takes.
-        tokens_out: Tokens that it will make.
-        urgency: Its rank.
-        started: Whether its first event has come.
+        number: Number of the request at the host.
+        server_id: Identifier of its server.
+        uncached_tokens: Tokens of the prompt that are still to be prefilled.
+        tokens: Tokens of memory that it occupies.
+        tokens_out: Tokens that it will generate.
+        urgency: Rank of the request at the server.
+        started: Whether its first event has arrived.
     """
 
     number: int
     server_id: str
-    fresh_tokens: int
+    uncached_tokens: int
     tokens: int
     tokens_out: int
     urgency: int
@@ -252,29 +254,28 @@
 
 
 class Heartbeat(msgspec.Struct, array_like=True, tag="h", frozen=True):
-    """Tell that a host is up, and what it has.
+    """Report that a host is up, and its state.
 
     Attributes:
-        host: Its name.
+        host: Name of the host.
         incarnation: Number of its start.
-        region: Its region.
-        data_centre: Its data centre.
+        region: Region of the host.
+        data_centre: Data centre of the host.
         front: Address for callers.
         control: Address for datagrams.
         relay: Address for forwarded requests.
-        capacity: Processor share.
+        capacity: Share of the processor that the host may use.
         up_seconds: Seconds since its start.
         leaving: Whether it is about to stop.
-        contact_age: Seconds since it heard the store.
+        contact_age: Seconds since its last contact with the store.
         version: Version of its configuration.
-        revisions: Newest revisions that it has seen, of what operators
-            wrote and of the servers.
-        report: `Report`: what it wants from who gets this.
-        tickets: Its requests in progress, or None if they are not told.
-        crashes: Digest of what it knows of requests under which servers
-            ended.
-        notices: Digest of what it knows that servers of the region say of
-            themselves.
+        revisions: Newest revisions that it has seen of the entries of
+            operators and of servers.
+        report: `Report` that it wants from the recipient.
+        placements: Its requests in progress, or None if not included.
+        crashes: Digest of its records of requests that crash servers.
+        notices: Digest of the notices of servers of the region that it has
+            received.
     """
 
     host: str
@@ -291,18 +292,18 @@
     version: int
     revisions: tuple[int, int]
     report: Report
-    tickets: list[OpenTicket] | None = None
+    placements: list[PlacementRow] | None = None
     crashes: int = 0
     notices: int = 0
 
 
 class RosterRow(msgspec.Struct, array_like=True, frozen=True):
-    """A host that the sender hears, or is told of.
+    """Host from which, or about which, the sender receives messages.
 
     Attributes:
-        id: Short name of this start of it.
-        age_tenths: Tenths of a second since it was heard.
-        state: Sum of the `HostState` that hold for it.
+        id: Short identifier of this start of the host.
+        age_tenths: Tenths of a second since it was last known to be alive.
+        state: Sum of the `HostState` values that apply to it.
     """
 
     id: int
@@ -311,7 +312,7 @@
 
 
 class Roster(msgspec.Struct, array_like=True, tag="m", frozen=True):
-    """Tell which hosts of a region live.
+    """Report which hosts of a region are alive.
 
     Attributes:
         host: Name of the sender.
@@ -325,11 +326,11 @@
 class HostEntriesRequest(
     msgspec.Struct, array_like=True, tag="q", frozen=True
 ):
-    """Ask who the hosts of a roster are.
+    """Request for the entries of hosts in a roster.
 
     Attributes:
         host: Name of the sender.
-        ids: Short names that it does not know.
+        ids: Short identifiers for which it has no entry.
     """
 
     host: str
@@ -339,27 +340,27 @@
 class HostEntriesMessage(
     msgspec.Struct, array_like=True, tag="w", frozen=True
 ):
-    """Tell who hosts are.
+    """Entries of hosts.
 
     Attributes:
-        hosts: `HostEntry` of each.
+        hosts: List of `HostEntry`.
     """
 
     hosts: list[HostEntry]
 
 
 class ServerCapacityRow(msgspec.Struct, array_like=True, frozen=True):
-    """Room at one server.
+    """Free capacity of one server.
 
     Attributes:
         waits: Milliseconds that a new request would wait, by its rank.
-        used: Percentage of its places in use.
+        occupancy: Percentage of its slots in use.
         token_micros: Microseconds that it needs for an output token.
-        spare: Requests that its limit lets through now; -1 without one.
+        spare: Requests that its rate limit permits now; -1 without a limit.
     """
 
     waits: list[int]
-    used: int
+    occupancy: int
     token_micros: int
     spare: int = -1
 
@@ -368,22 +369,23 @@
     """Load of one service in a region.
 
     Attributes:
-        slots: Requests that one server runs at once.
-        rooms: `ServerCapacityRow` of each server that takes requests, the best
-            first.
-        read: Short names of parts of prompts that were read of late.
+        slots: Requests that one server runs concurrently.
+        capacities: `ServerCapacityRow` of each server that accepts
+            requests, the best first.
+        prefilled_parts: Short identifiers of prompt parts that were
+            prefilled recently.
     """
 
     slots: int
-    rooms: list[ServerCapacityRow]
-    read: list[int] = []
+    capacities: list[ServerCapacityRow]
+    prefilled_parts: list[int] = []
 
 
 class RegionLoadMessage(msgspec.Struct, array_like=True, tag="l", frozen=True):
-    """Load of a region, from the host that places there.
+    """Load of a region, sent by its placing host.
 
     Attributes:
-        region: The region.
+        region: Name of the region.
         loads: `ServiceLoad` by service.
     """
 
@@ -392,11 +394,11 @@
 
 
 class StoredItem(msgspec.Struct, array_like=True, frozen=True):
-    """One item of the store, as hosts pass it on.
+    """Item of the store, as hosts forward it.
 
     Attributes:
-        key: The key.
-        value: The value.
+        key: Key of the item.
+        value: Value of the item.
         revision: Revision of its last change.
     """
 
@@ -406,11 +408,11 @@
 
 
 class RemovedItem(msgspec.Struct, array_like=True, frozen=True):
-    """A key that was removed from the store.
+    """Key that was removed from the store.
 
     Attributes:
-        key: The key.
-        revision: Revision of the store at its removal.
+        key: The removed key.
+        revision: Revision of the store at the removal.
     """
 
     key: str
@@ -418,15 +420,16 @@
 
 
 class StoreChange(msgspec.Struct, array_like=True, tag="c", frozen=True):
-    """Pass on what a watch of the store has brought.
+    """Forward a change that a watch of the store has delivered.
 
     Attributes:
-        host: Host whose watch it was.
+        host: Host that has the watch.
         prefix: Prefix of the keys.
-        previous: Newest revision below the prefix that the host knew.
+        previous: Newest revision under the prefix that the host had before the
+            change.
         written: Items that were written.
         removed: Keys that were removed.
-        outage: Whether the store had been away.
+        outage: Whether the store had been unavailable.
     """
 
     host: str
@@ -437,14 +440,14 @@
     outage: bool
 
 
-class ServerEndRow(msgspec.Struct, array_like=True, frozen=True):
-    """A server that ended as a request began on it.
+class ServerCrashRow(msgspec.Struct, array_like=True, frozen=True):
+    """Crash of a server as a request began on it.
 
     Attributes:
-        server: The start of a server.
-        age_ms: Milliseconds since its end.
-        host: Host that saw it.
-        caller: Address that the request came from.
+        server: The start of the server.
+        age_ms: Milliseconds since the crash.
+        host: Host that observed it.
+        caller: Address of the caller of the request.
     """
 
     server: str
@@ -454,23 +457,23 @@
 
 
 class SuspectRow(msgspec.Struct, array_like=True, frozen=True):
-    """A request under which servers ended.
+    """Request under which servers have crashed.
 
     Attributes:
-        fingerprint: What its repeats have in common.
-        ends: `ServerEndRow` of each server.
-        blocked: Whether it is held to be the cause.
-        cleared_age_ms: Milliseconds since it ran well, or -1.
+        fingerprint: Fingerprint that repeats of the request share.
+        ends: `ServerCrashRow` of each server.
+        blocked: Whether the request is considered the cause.
+        cleared_age_ms: Milliseconds since it succeeded, or -1.
     """
 
     fingerprint: str
-    ends: list[ServerEndRow]
+    ends: list[ServerCrashRow]
     blocked: bool = False
     cleared_age_ms: int = -1
 
 
 class SuspectsMessage(msgspec.Struct, array_like=True, tag="x", frozen=True):
-    """Tell of requests under which servers ended.
+    """Report requests under which servers have crashed.
 
     Attributes:
         host: Name of the sender.
@@ -482,16 +485,16 @@
 
 
 class LimitRow(msgspec.Struct, array_like=True, frozen=True):
-    """The limit that a server names.
+    """Rate limit that a server has announced.
 
     Attributes:
-        server_id: The server.
+        server_id: Identifier of the server.
         start: Name of its start.
-        limit: Requests a second that it takes from all hosts together; -1
+        limit: Requests a second that it accepts from all hosts together; -1
             for a limit that has ended.
-        age_ms: Milliseconds since it was heard.
-        host: Host that heard it.
-        request: Request to which it was the answer.
+        age_ms: Milliseconds since the limit was received.
+        host: Host that received it.
+        request: Identifier of the request whose response carried it.
     """
 
     server_id: str
@@ -503,15 +506,15 @@
 
 
 class LeavingRow(msgspec.Struct, array_like=True, frozen=True):
-    """A server whose answer said that it leaves.
+    """Server that has announced in a response that it is leaving.
 
     Attributes:
-        server_id: The server.
+        server_id: Identifier of the server.
         start: Name of its start.
         address: Its ``ip:port``.
-        age_ms: Milliseconds since it was heard.
-        host: Host that heard it.
-        request: Request to which it was the answer.
+        age_ms: Milliseconds since the announcement was received.
+        host: Host that received it.
+        request: Identifier of the request whose response carried it.
     """
 
     server_id: str
@@ -525,12 +528,12 @@
 class ServerNoticesMessage(
     msgspec.Struct, array_like=True, tag="n", frozen=True
 ):
-    """Tell what servers of the region say of themselves.
+    """Report notices of servers of the region.
 
     Attributes:
         host: Name of the sender.
-        limits: `LimitRow` of each server that named a limit.
-        leaving: `LeavingRow` of each server that leaves.
+        limits: `LimitRow` of each server that announced a limit.
+        leaving: `LeavingRow` of each server that is leaving.
     """
 
     host: str
@@ -539,11 +542,11 @@
 
 
 class ViewRequest(msgspec.Struct, array_like=True, tag="v", frozen=True):
-    """Ask how surely a host's configuration is the newest.
+    """Request how recently a configuration was verified as the newest.
 
     Attributes:
         host: Name of the sender.
-        stamp: Milliseconds of its own clock, to be sent back.
+        stamp: Milliseconds of the sender's clock, returned in the answer.
     """
 
     host: str
@@ -551,12 +554,12 @@
 
 
 class ViewResponse(msgspec.Struct, array_like=True, tag="y", frozen=True):
-    """Tell how surely the sender's configuration is the newest.
+    """Report how recently the configuration was verified as the newest.
 
     Attributes:
-        stamp: That of the question.
-        age_ms: Milliseconds since it was the newest for sure.
-        version: Its version.
+        stamp: Stamp of the request.
+        age_ms: Milliseconds since it was certainly the newest version.
+        version: Version of the configuration.
     """
 
     stamp: int
@@ -590,17 +593,17 @@
 
 
 def encode_message(message):
-    """Return the bytes of a datagram."""
+    """Return a message encoded as a datagram."""
     return _ENCODER.encode(message)
 
 
 def decode_message(data):
-    """Return the message of a datagram.
+    """Return the message that a datagram contains.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: The datagram cannot be decoded.
     """
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as problem:
-        raise ProtocolError(f"datagram: {problem}") from None
+        raise ProtocolError(f"invalid datagram: {problem}") from None
--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves in their answers."""
+"""Limits, pauses and leaving notices in the responses of backend servers."""
 
 from ..core.events import EventKind
 from ..core.sentinels import INVALID, NOTHING
@@ -11,29 +11,31 @@
 __all__ = ["ServerNotices", "notice_details"]
 
 IGNORED_LOG_INTERVAL_SECONDS = 10.0
-"""Seconds between two lines on unusable statements of one server."""
+"""Seconds between two log lines about invalid notices of one server."""
 
 BROADCAST_INTERVAL_SECONDS = 0.5
-"""Seconds between two messages to all hosts of the region on one server. A
-server may name another limit in each answer; who places hears of each."""
+"""Seconds between two broadcasts about one server to all hosts of the
+region. A server may give a different limit in each response; the placing hosts
+receive every change."""
 
 PLACING_HOST_COUNT = 2
-"""Hosts of the region that hear of each change at once: the one that
-places, and the one that would take over."""
+"""Hosts of the region that receive each change at once: the one that places
+and the one that would take over."""
 
 MAX_ROWS_PER_DATAGRAM = 100
-"""Servers in one datagram, about 10 KB of them."""
+"""Rows of servers in one datagram, which is then about 10 KB long."""
 
 NO_LIMIT_ROW_VALUE = -1.0
-"""Limit in a row that says that a limit has ended."""
+"""Value of the limit in a row that reports the end of a limit."""
 
 
 class ServerNotices:
-    """Take what servers say, and tell the hosts of the region.
+    """Apply the notices of servers and share them within the region.
 
-    A server takes requests from its own region only, so nobody else needs
-    to know. Heartbeats bear a digest, as with requests under which servers
-    end; who missed something, or has just started, is told all.
+    A server accepts requests from its own region only, so hosts elsewhere do
+    not need its notices. Heartbeats carry a digest of the known notices, as
+    they do for requests that crash servers; a host that missed a message, or
+    has just started, receives all of them.
 
     Args:
         limits: The `ServerLimits`.
@@ -42,9 +44,9 @@
         members: The `Members`.
         datagrams: The `DatagramEndpoint`.
         connections: The `Connections`.
-        clock: The runtime's clock.
+        clock: The clock of the reactor.
         timeline: The `Timeline`.
-        spread: Called with a message for all hosts of the region.
+        broadcast: Called with a message to send to all hosts of the region.
     """
 
     def __init__(
@@ -74,16 +76,17 @@
 
     @property
     def digest(self):
-        """Digest of what servers are known to say."""
+        """Digest of the notices that this host has received."""
         return self.limits.digest ^ self.registry.left_digest
 
     def head_handler(self, server_id, request):
-        """Return what takes the `Head` of an answer to a request.
+        """Return a callable that takes the `ResponseHead` of a response.
 
-        An answer of a start of the server that is over by then is dropped.
+        The head is ignored if the server has restarted since the request
+        was sent.
 
         Args:
-            server_id: The server that the request is sent to.
+            server_id: Identifier of the server that gets the request.
             request: Identifier of the request.
         """
         start = self.registry.start_of(server_id)
@@ -95,7 +98,7 @@
         return pass_head
 
     def handle_head(self, server_id, start, request, head):
-        """Take what the answer to a request says."""
+        """Apply the notices in the head of a response."""
         if head.leaving and server_id in self.registry.servers:
             self.handle_leaving(server_id, start, request, head)
         if head.turned_away:
@@ -103,7 +106,7 @@
         self.handle_limit(server_id, start, request, head)
 
     def handle_pause(self, server_id, request, seconds):
-        """Leave a server alone for as long as it asks for."""
+        """Pause requests to a server for the Retry-After that it sent."""
         if seconds is INVALID:
             self.log_ignored(server_id, request, "rest")
             return
@@ -117,7 +120,7 @@
             )
 
     def handle_leaving(self, server_id, start, request, head):
-        """Use a server no more that says that it leaves."""
+        """Stop using a server that announces that it is leaving."""
         if head.leaving is INVALID:
             self.log_ignored(server_id, request, "leaving")
             return
@@ -135,7 +138,7 @@
             self.broadcast(self.message([], [notice], now))
 
     def note_leaving(self, notice, now):
-        """Put a server that leaves on the time line; drop its connections."""
+        """Log that a server is leaving and drop its connections."""
         self.connections.forget(notice.server_id)
         self.timeline.note(
             EventKind.SERVER_LEAVING,
@@ -146,12 +149,13 @@
         )
 
     def handle_limit(self, server_id, start, request, head):
-        """Take the limit that an answer names, or its end."""
+        """Apply the limit in a response, or the end of a known limit."""
         if head.limit is INVALID:
             self.log_ignored(server_id, request, "limit")
             return
         unknown = server_id not in self.limits.named
-        # A server that is full may refuse without a word on limits.
+        # A server that is full may reject a request without the limit header,
+        # which does not mean that its limit has ended.
         if head.limit is NOTHING and (head.not_run or unknown):
             return
         now = self.clock.seconds()
@@ -168,7 +172,7 @@
             self.announce(notice, now)
 
     def note_limit(self, notice, now):
-        """Put a limit that is new to this host on the time line."""
+        """Log a limit that is new to this host."""
         ended = notice.limit == UNLIMITED
         self.timeline.note(
             EventKind.SERVER_LIMITED,
@@ -180,7 +184,7 @@
         )
 
     def log_ignored(self, server_id, request, what):
-        """Put an unusable statement on the time line, now and then."""
+        """Log an invalid notice, at a bounded rate for each server."""
         now = self.clock.seconds()
         if (
             now - self.ignored_at.get(server_id, -IGNORED_LOG_INTERVAL_SECONDS)
@@ -196,7 +200,7 @@
         )
 
     def announce(self, notice, now):
-        """Tell the hosts of the region of a limit heard here."""
+        """Send a limit that this host received to hosts of the region."""
         message = self.message([notice], [], now)
         last_broadcast = self.broadcast_at.get(
             notice.server_id, -BROADCAST_INTERVAL_SECONDS
@@ -212,12 +216,12 @@
         )
 
     def message(self, limits, leaving, now):
-        """Return the message on some notices.
+        """Return the message that carries some notices.
 
         Args:
-            limits: Each `LimitNotice`.
-            leaving: Each `LeavingNotice`.
-            now: The time.
+            limits: List of `LimitNotice`.
+            leaving: List of `LeavingNotice`.
+            now: Current time of the clock.
         """
         return ServerNoticesMessage(
             self.members.own.name,
@@ -226,7 +230,7 @@
         )
 
     def merge(self, message):
-        """Take over what another host tells."""
+        """Merge the notices that another host sent."""
         now = self.clock.seconds()
         for row in filter(self.is_applicable, message.limits):
             notice = limit_from_row(row, now)
@@ -238,15 +242,16 @@
                 self.note_leaving(notice, now)
 
     def is_applicable(self, row):
-        """Whether a row is on a start of a server that may be used here.
+        """Return whether a row concerns a start of a server usable here.
 
-        Word of a server may come before its entry does.
+        A notice may arrive before the registry entry of its server, so rows
+        of unknown servers apply as well.
         """
         unknown = row.server_id not in self.registry.servers
         return unknown or self.registry.is_known(row.server_id, row.start)
 
     def compare(self, member, digest):
-        """Tell a host of the region all if it knows something else."""
+        """Send all notices to a host of the region if its digest differs."""
         if member.region != self.members.own.region:
             return
         if not self.comparison.must_tell(member.name, self.digest, digest):
@@ -259,7 +264,7 @@
             self.datagrams.send(message, member.control)
 
     def tick(self):
-        """Forget what concerns servers that are gone."""
+        """Delete the state of servers that are gone."""
         now = self.clock.seconds()
         self.registry.forget_left(now)
         self.limits.expire(now)
@@ -296,7 +301,7 @@
 
 
 def leaving_from_row(row, now):
-    """Return the `LeavingNotice` of a row, in times of this host."""
+    """Return the `LeavingNotice` of a row, timed by the local clock."""
     return LeavingNotice(
         server_id=row.server_id,
         start=row.start,
@@ -308,7 +313,7 @@
 
 
 def limit_from_row(row, now):
-    """Return the `LimitNotice` of a row, in times of this host."""
+    """Return the `LimitNotice` of a row, timed by the local clock."""
     return LimitNotice(
         server_id=row.server_id,
         start=row.start,
@@ -320,7 +325,7 @@
 
 
 def notice_details(decision):
-    """Return what a line tells of the notices that bore on a decision.
+    """Return the log fields for the notices that affected a decision.
 
     Args:
         decision: A `Placed` or `Refused`.
--- a/src/hyssopspring/entry/prometheus.py
+++ b/src/hyssopspring/entry/prometheus.py
@@ -1,8 +1,8 @@
-"""Counters and latency histograms of an entry process, as text.
+"""Counters and latency histograms of an entry process for Prometheus.
 
-The text is the exposition format that Prometheus reads. Its library would
-add to the memory of each host and to the time of a start, during which a
-host that was killed serves nobody. What is needed of the format is below.
+This module implements the required part of the text exposition format. The
+client library of Prometheus would add to the memory of each host and to its
+start time, during which a host that was killed serves no requests.
 """
 
 from bisect import bisect_left
@@ -26,14 +26,14 @@
     5.0,
     10.0,
 )
-"""Upper bounds of the histograms in seconds; the objectives of the first
-users lie at 0.5, 0.6, 0.8 and 1.0."""
+"""Upper bounds of the histogram buckets. The latency objectives of the first
+users are 0.5, 0.6, 0.8 and 1.0 s."""
 
 CONTENT_TYPE = b"text/plain; version=0.0.4"
 
 
 class Histogram:
-    """Count durations by their size."""
+    """Histogram of durations."""
 
     def __init__(self):
         self.counts = [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
@@ -45,7 +45,11 @@
         self.total += seconds
 
     def lines(self, name):
-        """Yield the lines of the text form."""
+        """Yield the lines of the exposition format.
+
+        Args:
+            name: Name of the metric.
+        """
         running = 0
         for bound, count in zip(
             (*BUCKET_BOUNDS_SECONDS, "+Inf"), self.counts, strict=True
@@ -57,10 +61,10 @@
 
 
 class PrometheusMetrics:
-    """Count the events of a time line, and the times that they tell.
+    """Event listener that counts events and the durations they report.
 
     Args:
-        gauges: Called for the current values by name.
+        gauges: Called for a dictionary of the current gauges by name.
     """
 
     def __init__(self, gauges):
@@ -71,8 +75,8 @@
         self.predicted = Histogram()
 
     def __call__(self, event):
-        """Take one event."""
-        ensure(event.name in self.events, "an event outside the catalogue")
+        """Count one event and add its durations to the histograms."""
+        ensure(event.name in self.events, "event is not in the catalogue")
         self.events[event.name] += 1
         details = event.details
         if event.number == EventKind.ANSWERED.number:
@@ -82,7 +86,7 @@
             self.predicted.add(float(details.get("predicted", 0)))
 
     def text(self):
-        """Return all of it in the text form."""
+        """Return all metrics in the exposition format."""
         rows = [
             f'hyssop_events_total{{event="{name}"}} {count}'
             for name, count in self.events.items()
@@ -97,7 +101,7 @@
         return "\n".join(rows) + "\n"
 
     def handle(self, request):
-        """Answer one HTTP request with the text."""
+        """Respond to an HTTP request with all metrics."""
         body = self.text().encode()
         request.setHeader(b"content-type", CONTENT_TYPE)
         request.setHeader(b"content-length", b"%d" % len(body))
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -72,7 +72,7 @@
         self.forgotten = []
         self.events = Counter()
 
-    def open_tickets(self):
+    def placement_rows(self):
         """Return no request."""
         return []
 
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Questions between hosts of a region, and the decisions that come back."""
+"""Placement queries between hosts of a region, and the answers to them."""
 
 import random
 
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("decision", DECISIONS)
 def test_a_decision_survives_encoding_and_decoding(decision):
-    """Requests that were refused are sent to engines that are full.
+    """Guards against decisions that cannot be encoded.
 
-    The placing host fails to write its refusal, so the asking host waits
-    for 80 ms, asks the next one in vain, and decides by what it alone
-    knows. Each decision must survive its way between two hosts.
+    If the placing host failed to encode a refusal, the querying host would
+    wait for 80 ms, query the next host in vain, decide by itself without the
+    state of the region, and send the request to an engine that is full.
     """
     message = decode_message(encode_message(answer_message(7, decision)))
     assert_that(message.number, Equals(7))
@@ -50,18 +50,18 @@
 
 
 class Unlimited:
-    """Let all requests pass."""
+    """Limiter that allows all requests."""
 
     @property
     def placement_share(self):
-        """Return what notes who asks."""
+        """Return the object that records queries."""
         return self
 
     def note_asked(self, host, *, is_fallback, recent_fallback):
         """Do nothing."""
 
     def decide(self, ask, decide):
-        """Return what is decided."""
+        """Return the result of *decide*."""
         return decide()
 
     def note_end(self, host, number, finding):
@@ -69,15 +69,15 @@
 
 
 class SentMessages(list):
-    """Keep the messages that are sent, with their addresses."""
+    """Record the messages that are sent, with their addresses."""
 
     def send(self, message, address):
-        """Keep one message."""
+        """Record one message."""
         self.append((message, address))
 
 
 def make_member(name):
-    """Return a host of one region that has run for a minute."""
+    """Return a member of the region that has been up for a minute."""
     return Member(
         name=name,
         region="north",
@@ -122,10 +122,11 @@
 
 
 def test_a_busy_placing_host_answers_the_newest_questions():
-    """All requests of a region are placed by hosts that know nothing.
+    """Guards against an overloaded placing host that answers only too late.
 
-    The placing host cannot keep up. It answers each question in the order
-    in which they came, all of them after their hosts have given it up.
+    If it answered queries in order of arrival, each answer would come after
+    the timeout, and every host would place its requests by itself without
+    the state of the region.
     """
     coordinator, clock, sent = make_coordinator("placer", "asker")
     asker = coordinator.members.others["asker"]
@@ -136,8 +137,8 @@
 
     for number in range(30):
         ask(number)
-    # The loop is held up, by other work or by more questions than it can
-    # answer; ten more come in the end.
+    # The event loop is blocked, by other work or by more queries than the
+    # host can answer. Then ten more arrive.
     clock.rightNow += 0.2
     for number in range(30, 40):
         ask(number)
@@ -150,11 +151,11 @@
 
 
 def test_a_late_placement_is_released():
-    """Servers look loaded by requests that others carry out elsewhere.
+    """Guards against servers that look loaded by requests they never get.
 
-    The placing host is busy and answers after 0.2 s. The host that asked
-    has gone on without it; nobody tells the placing host that its server
-    never gets the request.
+    The placing host is busy and answers after 0.2 s, when the querying host
+    has already decided by itself. Without a release, the placing host would
+    go on counting the request at its server.
     """
     coordinator, clock, sent = make_coordinator("asker", "placer")
     done = defer.ensureDeferred(
--- a/tests/test_crashsharing.py
+++ b/tests/test_crashsharing.py
@@ -1,7 +1,8 @@
-"""Who hears under which requests servers have ended.
+"""Replication of the records of requests that crash servers.
 
-The network of `networks`: three regions, ways of 0.2 ms and 80 ms, three
-datagrams in a thousand lost.
+The tests use the simulated network of `networks`: three regions, latencies
+of 0.2 ms within and 80 ms between them, and a loss of three datagrams in a
+thousand.
 """
 
 import pytest
@@ -10,29 +11,29 @@
 from testtools.matchers import Equals, LessThan
 
 from hyssopspring.entry.messages import (
-    ServerEndRow,
+    ServerCrashRow,
     SuspectRow,
     SuspectsMessage,
 )
 from hyssopspring.traffic.crashes import MOST_SUSPECTS, Verdict
 
 PROPAGATION_SECONDS = 5.0
-"""Seconds after a third end in which each host that is in touch must know;
-what a host sends one second later counts."""
+"""Seconds after a third crash in which each connected host must have the
+record; a host may send it one second late."""
 
 FINGERPRINT = "b" * 32
 
 
 @pytest.fixture
 def network():
-    """Return 60 hosts that have run for five seconds."""
+    """Return a network of 60 hosts that have run for five seconds."""
     made = Network(20)
     made.run(5.0)
     return made
 
 
 def end_servers(network, names, *, interval=0.1, fingerprint=FINGERPRINT):
-    """Let a server end under a request at each host of *names*."""
+    """Crash a server under a request at each host of *names*."""
     for number, name in enumerate(names):
         network.hosts[name].sharing.server_ended(
             fingerprint, "c", f"server-{name}-{number}"
@@ -41,7 +42,7 @@
 
 
 def verdicts(network, fingerprint=FINGERPRINT):
-    """Return the verdicts of all hosts that run."""
+    """Return the verdicts of all hosts that are up and connected."""
     return {
         host.sharing.verdict(fingerprint, "c")
         for host in network.hosts.values()
@@ -50,14 +51,17 @@
 
 
 def test_all_hosts_learn_of_crashes_in_other_regions(network):
-    """Each region lets three servers end before it refuses the request."""
+    """Guards against each region losing three servers to one request."""
     end_servers(network, ["north-3", "south-5", "west-19"])
     network.run(1.0)
     assert_that(verdicts(network), Equals({Verdict.BLOCKED}))
 
 
 def test_first_crashes_are_announced_to_few_hosts(network):
-    """A server that ends with 60 requests fills the links of all hosts."""
+    """Guards against broadcasts to all hosts when one server crashes.
+
+    A server that crashes with 60 requests would fill the links of all hosts.
+    """
     before = {
         name: host.datagrams.bytes_sent for name, host in network.hosts.items()
     }
@@ -82,7 +86,10 @@
 
 
 def test_a_partitioned_region_catches_up_when_reconnected(network):
-    """Servers end in a region that could not be told of the request."""
+    """Guards against crashes in a region that was partitioned.
+
+    The region could not receive the records of the crashes elsewhere.
+    """
     west = {host for host in network.hosts.values() if host.region == "west"}
     network.cut |= west
     end_servers(network, ["north-3", "south-5", "north-7"])
@@ -93,7 +100,10 @@
 
 
 def test_partitioned_regions_learn_through_a_third(network):
-    """North and west are cut off from each other, south reaches both."""
+    """Guards against a partition of two regions that a third one reaches.
+
+    North and west cannot reach each other, and south reaches both.
+    """
     network.cut_pairs.add(frozenset(("north", "west")))
     end_servers(network, ["north-3", "north-5", "north-7"])
     network.run(PROPAGATION_SECONDS)
@@ -101,7 +111,7 @@
 
 
 def test_a_restarted_host_learns_of_blocked_requests(network):
-    """The first host that starts again sends the request to servers."""
+    """Guards against a restarted host that sends the request to servers."""
     end_servers(network, ["north-3", "south-5", "north-7"])
     network.hosts["north-9"].up = False
     network.run(10.0)
@@ -114,7 +124,7 @@
 
 
 def test_a_lost_announcement_is_repeated(network):
-    """One host lets the request through, as it missed a datagram."""
+    """Guards against a host that admits the request after a lost datagram."""
     isolated = network.hosts["south-11"]
     network.cut.add(isolated)
     end_servers(network, ["south-3", "south-5", "south-7"])
@@ -126,7 +136,7 @@
 
 
 def test_all_hosts_learn_that_a_request_succeeded(network):
-    """A request is kept apart for minutes that has run well since."""
+    """Guards against isolating a request for minutes after it succeeded."""
     end_servers(network, ["north-3", "south-5"])
     network.run(1.0)
     assert_that(verdicts(network), Equals({Verdict.ALONE}))
@@ -136,7 +146,7 @@
 
 
 def test_nothing_is_sent_between_hosts_in_sync(network):
-    """Hosts go on to tell each other what all know."""
+    """Guards against hosts that keep sending records that all have."""
     end_servers(network, ["north-3", "south-5", "west-7"])
     network.run(5.0)
     count_since = count_suspects(network)
@@ -145,12 +155,15 @@
 
 
 def test_more_suspects_than_the_table_holds_are_merged(network):
-    """Word of many ends fails midway, and the rest of it is lost."""
+    """Guards against a failure midway through a long message.
+
+    The rest of the records in the message would be lost.
+    """
     host = network.hosts["north-3"]
     for first in range(0, MOST_SUSPECTS + 200, 100):
         rows = [
             SuspectRow(
-                f"{first + one:032}", [ServerEndRow("s", first + one, "h")]
+                f"{first + one:032}", [ServerCrashRow("s", first + one, "h")]
             )
             for one in range(100)
         ]
@@ -159,11 +172,12 @@
 
 
 def test_successful_repeats_are_announced_to_few_hosts(network):
-    """Each answer after the end of a server is told to all hosts.
+    """Guards against a broadcast for each success after a crash.
 
-    Sixty requests were about to begin on a server that ended. Each is
-    answered by another one soon after. Three hosts of the region sum up;
-    they tell three of each other region, and each of these three there.
+    Sixty requests were about to begin on a server that crashed, and each
+    succeeds on another server soon after. Three hosts of the region
+    aggregate the records and send them to three hosts of each other region,
+    each of which sends them to three hosts there.
     """
     for number in range(60):
         network.hosts["north-3"].sharing.server_ended(
@@ -179,7 +193,7 @@
 
 
 def count_suspects(network):
-    """Return a function that returns the datagrams on suspects since."""
+    """Return a function that counts suspect datagrams sent from now on."""
     before = sum(host.suspect_datagrams for host in network.hosts.values())
 
     def count_since():
--- a/tests/test_denials.py
+++ b/tests/test_denials.py
@@ -1,4 +1,4 @@
-"""401 and 404 only where a host can know that they are true."""
+"""Responses 401 and 404 only if a host can verify that they are correct."""
 
 import time
 
@@ -10,14 +10,14 @@
 from twisted.web.http_headers import Headers
 
 APPLY_SECONDS = 4.0
-"""Seconds in which a change must be in force at every host."""
+"""Seconds in which every host must apply a change."""
 
 CONFIGURATION_WITH_NEW_ROUTE = configuration(5, lookup={"prefix": "/new/"})
 """A configuration with a route that the first one lacks."""
 
 
 def cut_off_store(hosts):
-    """Cut the way of all hosts to the store."""
+    """Disconnect all hosts from the store."""
     for proxy in hosts.proxies.values():
         proxy.silence()
         proxy.cut = True
@@ -30,7 +30,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_route_missed_by_all_watches_is_not_denied(proxied_hosts):
-    """Guards against 404 while watches miss a change and calls succeed."""
+    """Guards against a 404 while watches miss a change but calls succeed."""
     await pause(2.0)
     proxied_hosts.store.deaf = True
     proxied_hosts.store.put_json("op/config", CONFIGURATION_WITH_NEW_ROUTE)
@@ -44,10 +44,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_host_without_the_store_denies_no_route(proxied_hosts):
-    """Guards against 404 by a host that cannot ask for the newest version.
+    """Guards against a 404 by a host that cannot verify its configuration.
 
-    It answers that the request was not run, at once enough for its caller
-    to go elsewhere.
+    The host reports that the request was not run, early enough for the
+    caller to retry at another host.
     """
     await pause(2.0)
     cut_off_store(proxied_hosts)
@@ -64,7 +64,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_callers_wait_once_for_an_unverifiable_route(proxied_hosts):
-    """Guards against a second of waiting for each caller in an outage."""
+    """Guards against a delay of a second for each caller in an outage."""
     await pause(2.0)
     cut_off_store(proxied_hosts)
     await pause(APPLY_SECONDS)
@@ -81,9 +81,9 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_host_that_was_suspended_denies_no_route(proxied_hosts):
-    """Guards against 404 by a host whose clock stood while others went on.
+    """Guards against a 404 by a host whose clock stopped during a suspension.
 
-    For its own clock the store answered a moment ago.
+    By its own clock, the store answered a moment ago.
     """
     await pause(2.0)
     cut_off_store(proxied_hosts)
@@ -98,10 +98,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_key_that_may_have_been_added_is_not_denied(proxied_hosts):
-    """Guards against 401 for a new key at a host that believes old ones.
+    """Guards against a 401 for a new key at a host with an old configuration.
 
-    Keys that this host knows may be believed for 20 s; that says nothing
-    of keys that it does not know.
+    The host may accept the keys in its configuration for 20 s. That does not
+    allow it to reject keys that are missing there.
     """
     proxied_hosts.store.put_json("op/config", keyed_configuration(4))
     proxied_hosts.add_host("h-north-2", "north", 5, revocation=20.0)
@@ -127,7 +127,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_unknown_routes_cost_few_calls(proxied_hosts):
-    """Guards against a call to the store for each request that is denied."""
+    """Guards against a call to the store for each denied request."""
     await pause(2.0)
     processes = proxied_hosts.processes.values()
     calls = sum(one.following.store.calls for one in processes)
@@ -139,7 +139,7 @@
             assert_that(status, Equals(404))
         await pause(0.05)
     made = sum(one.following.store.calls for one in processes) - calls
-    # Renewals and probes of 3 s, and two readings at most.
+    # The watch renewals and probes within 3 s, and at most two reads.
     assert_that(made, LessThan(2 * (2 + 4) + 2 * 2))
 
 
@@ -147,7 +147,7 @@
 async def test_a_planned_stop_answers_requests_under_verification(
     proxied_hosts,
 ):
-    """Guards against a connection that ends without an answer at a stop."""
+    """Guards against connections closed without a response at a stop."""
     proxied_hosts.add_host("h-north-2", "north", 5)
     await proxied_hosts.settled()
     await pause(2.0)
--- a/tests/test_limiting.py
+++ b/tests/test_limiting.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces at entry hosts: what callers and operators see."""
+"""Workspace limits at entry hosts, as callers and operators see them."""
 
 import pytest_twisted
 from entry_hosts import keyed_configuration
@@ -21,7 +21,7 @@
 
 
 async def apply_limit(hosts):
-    """Put a limit of 1,000 tokens a second in force."""
+    """Configure a limit of 1,000 tokens a second and wait for it."""
     document = keyed_configuration(2, LIMITED)
     hosts.store.put_json("op/config", document)
     await hosts.until(
@@ -35,7 +35,7 @@
 
 
 async def ask(hosts, number, path="/lookup/a", **headers):
-    """Make a request of the workspace; return status and headers."""
+    """Send a request of the workspace; return the status and headers."""
     status, found, _ = await hosts.send(
         "h-north",
         path,
@@ -48,10 +48,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_request_over_the_limit_gets_retry_after(hosts):
-    """A caller asks again and again, as nobody says when there is room.
+    """Guards against callers that retry blindly for want of a Retry-After.
 
-    The first request finds an empty bucket, as its host has just heard of
-    the workspace. It reaches no server, and passes when it comes back.
+    The first request finds an empty token bucket, because its host has just
+    received the configuration of the workspace. It reaches no server, and
+    succeeds when it is repeated after the Retry-After.
     """
     await apply_limit(hosts)
     status, headers = await ask(hosts, 1)
@@ -71,10 +72,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_what_a_server_rejects_is_not_counted(hosts):
-    """A workspace is refused, as requests that never ran used its limit up.
+    """Guards against requests that never ran but use up the limit.
 
-    Both servers reject all. The tokens of each try are given back, so the
-    next one still finds enough.
+    Both servers reject all requests. The tokens of each attempt are
+    refunded, so the next attempt still finds enough.
     """
     await apply_limit(hosts)
     await ask(hosts, 0)
@@ -90,9 +91,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_region_without_demand_transfers_its_tokens(hosts):
-    """A region refuses what the whole limit has room for elsewhere.
+    """Guards against refusals while another region has unused tokens.
 
-    Only the north asks, for 0.8 of the limit, of which it owns a half.
+    Only the region north receives requests. They need 0.8 of the limit, and
+    the region holds half of it.
     """
     await apply_limit(hosts)
     refused = 0
@@ -105,7 +107,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_an_invalid_token_count_is_rejected(hosts):
-    """A caller whose count cannot be read is served without limit."""
+    """Guards against serving a request with an unreadable token count."""
     await apply_limit(hosts)
     status, _ = await ask(hosts, 1, x_token_usage="many,1")
     assert_that(status, Equals(400))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines and measures: bounded, and enough to find a cause."""
+"""Log lines and metrics: bounded, and sufficient to find a cause."""
 
 import json
 
@@ -25,13 +25,13 @@
 
 @pytest.fixture
 def written():
-    """Return the list that takes what is written."""
+    """Return the list that collects the written bytes."""
     return []
 
 
 @pytest.fixture
 def lines(clock, written):
-    """Return a `LogWriter` whose reader takes all."""
+    """Return a `LogWriter` whose reader accepts everything."""
 
     def write(data):
         written.append(data)
@@ -41,16 +41,16 @@
 
 
 def rows(written):
-    """Return the decoded lines."""
+    """Return the decoded log lines."""
     text = b"".join(written).decode()
     return [json.loads(line) for line in text.splitlines()]
 
 
 def test_log_rate_is_bounded_under_overload(clock, lines, written):
-    """The log of an overloaded host costs more than its requests.
+    """Guards against a log that costs more than the requests it records.
 
-    Ten thousand decisions come in ten seconds. What exceeds the rate is
-    counted; refusals and errors are written before routine.
+    Ten thousand decisions arrive in ten seconds. Lines that exceed the rate
+    are dropped and counted, routine lines before refusals and errors.
     """
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[lines])
     for number in range(10_000):
@@ -67,7 +67,7 @@
 
 
 def test_a_stalled_log_reader_loses_lines_without_blocking(clock):
-    """The process stands still, since nobody reads its log."""
+    """Guards against a process that blocks because its log is not read."""
 
     def write(data):
         raise BlockingIOError
@@ -83,7 +83,7 @@
 
 
 def test_a_partial_write_is_not_repeated(clock, written):
-    """A line is cut in two, and its start stands there twice."""
+    """Guards against writing the start of a line twice after a short write."""
     taken = []
 
     def write(data):
@@ -100,7 +100,7 @@
 
 
 def test_metrics_count_events_and_times(clock):
-    """The text holds counters, histograms and values of this moment."""
+    """The exposition contains counters, histograms and current gauges."""
     metrics = PrometheusMetrics(lambda: {"hosts_live": 7})
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[metrics])
     timeline.note(EventKind.PLACED, predicted=0.25)
@@ -118,7 +118,7 @@
 
 
 def test_records_of_several_processes_are_put_in_order():
-    """Marks before the brace and lines that are none are left out."""
+    """Prefixes before the JSON object and other lines are skipped."""
     text = [
         '9.1 h2 {"ms":2,"n":0,"host":"h2","event":"relayed","request":"r"}',
         "Traceback {not a record}",
@@ -171,7 +171,7 @@
     ],
 )
 def test_the_cause_is_found_from_the_lines_alone(events, named):
-    """On call has the lines of a request and nothing else."""
+    """Log lines of a request alone must suffice for the engineer on call."""
     lines = [
         json.dumps(
             {
@@ -191,10 +191,11 @@
 
 
 def test_the_cause_of_a_late_answer_names_the_wrong_prediction():
-    """A caller waited for a second, and the lines say all was well.
+    """Guards against log lines that do not explain a late answer.
 
-    It was placed where an answer was predicted in 36 ms. A long prompt
-    that is less urgent had been sent to the same server just before.
+    The caller waited for a second, although the answer was predicted in
+    36 ms. A long, less urgent prompt had been sent to the same server just
+    before.
     """
     rows = [
         (0, "placed", "long", {"predicted": "0.9", "urgency": "6"}),
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in their answers."""
+"""Notices that servers give in the headers of their responses."""
 
 import pytest
 import pytest_twisted
@@ -12,7 +12,7 @@
 
 
 def head_of(*limits):
-    """Return the head of a success with values of the limit's header."""
+    """Return the head of a success with values of the limit header."""
     headers = Headers({b"server-limit": list(limits)})
     return read_head(200, headers)
 
@@ -36,7 +36,7 @@
     ],
 )
 def test_a_limit_that_is_no_number_is_invalid(limits, read):
-    """A senseless limit would stop a service, or let all through."""
+    """Guards against a malformed limit that blocks or floods a service."""
     assert_that(head_of(*limits).limit, Equals(read))
 
 
@@ -45,14 +45,14 @@
     [((), False), ((b"1",), True), ((b"0",), INVALID), ((b"1",) * 2, INVALID)],
 )
 def test_a_malformed_leaving_header_is_invalid(values, read):
-    """A server with a faulty header is never used again."""
+    """Guards against a server that is never used again for a bad header."""
     headers = Headers({b"server-leaving": list(values)})
     assert_that(read_head(200, headers).leaving, Equals(read))
 
 
 @pytest_twisted.ensureDeferred
 async def test_a_log_line_names_the_answer_that_set_a_limit(hosts):
-    """Nobody could tell from lines whether a limit was read at all."""
+    """Guards against limits that are applied or ignored without a log line."""
     backend = hosts.backends["plain-north"]
     for number, limit in enumerate((b"2000", b"2000", b"x", b"3000", None)):
         backend.told = {b"server-limit": limit} if limit else {}
@@ -79,7 +79,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_log_lines_name_the_server_notice_behind_a_refusal(hosts):
-    """A caller is refused, and no line says that servers asked for it."""
+    """Guards against a refusal whose log lines omit the leaving servers."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].told = {b"server-leaving": b"1"}
     for host in ("h-north", "h-south"):
@@ -100,7 +100,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_log_lines_name_the_limit_behind_a_refusal(hosts):
-    """A caller is refused by a limit, and no line says whose it is."""
+    """Guards against a refusal whose log lines omit the server's limit."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].told = {b"server-limit": b"0.5"}
     statuses = {}
