--- a/src/hyssopspring/entry/callers.py
+++ b/src/hyssopspring/entry/callers.py
@@ -109,7 +109,7 @@
         )
         if isinstance(rights, Barred):
             if rights.reason is Reason.UNVERIFIED:
-                self.views.hurry()
+                self.views.refresh()
             known = rights.status != UNAUTHORIZED
             if known or self.is_sure(request, arrived):
                 self.bar(request, rights)
@@ -139,9 +139,9 @@
         If it is not sure the request waits until it is, or is refused: at
         once where others have waited in vain a moment ago.
         """
-        if self.state.view.denies:
+        if self.state.view.can_deny:
             return True
-        in_vain = self.views.doubted_for >= LONGEST_DOUBT
+        in_vain = self.views.verifying_seconds >= LONGEST_DOUBT
         if in_vain or not self.doubted.hold(request, arrived):
             self.refuse_doubted(request)
         self.views.verify()
@@ -222,7 +222,7 @@
 
     def resolve_doubts(self, now):
         """Serve or deny the requests that wait for a sure view."""
-        if self.state.view.denies:
+        if self.state.view.can_deny:
             self.doubted.release()
             return
         self.views.verify()
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -360,7 +360,7 @@
         long. Should it be dead all the same, the outcome is unknown, and
         what must not run twice is not sent again.
         """
-        far = self.state.far_hosts
+        far = self.state.remote_hosts
         member = far.choose(away.region, self.tried_hosts)
         if member is NOTHING:
             self.avoid_region(away.region)
--- a/src/hyssopspring/entry/fetching.py
+++ b/src/hyssopspring/entry/fetching.py
@@ -10,7 +10,7 @@
 
 __all__ = ["fetch"]
 
-LONGEST_ANSWER = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
 async def fetch(connections, lane, method, uri, host, body, *, timeout, clock):
@@ -36,10 +36,10 @@
     try:
         return await work
     except defer.CancelledError:
-        call.drop()
+        call.abort()
         raise
     except Exception as problem:
-        call.drop()
+        call.abort()
         raise NoAnswerError(repr(problem)) from problem
 
 
@@ -68,14 +68,14 @@
                 self.method, self.uri, headers, producer, persistent=True
             )
         )
-        reader = Collector(LONGEST_ANSWER)
+        reader = Collector(MAX_RESPONSE_BYTES)
         response.deliverBody(reader)
         await reader.done
         if not reader.reason.check(ResponseDone):
             raise NoAnswerError("the answer was cut")
         return response.code, reader.body
 
-    def drop(self):
+    def abort(self):
         """Close the connection of a call that failed."""
         if self.connection is not None:
             self.connection.transport.abortConnection()
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -33,44 +33,44 @@
 
 __all__ = ["Membership"]
 
-HEARTBEAT_EVERY = 0.5
+HEARTBEAT_INTERVAL_SECONDS = 0.5
 """Seconds between heartbeats to the hosts of the region."""
 
-ROSTER_BEATS = 2
+ROSTER_INTERVAL_HEARTBEATS = 2
 """Heartbeat intervals between two rosters of this region. Who is about to
 leave is told at once."""
 
-FAR_BEATS = 4
+REMOTE_INTERVAL_HEARTBEATS = 4
 """Heartbeat intervals between two rosters of or to another region."""
 
-AT_ONCE = 6
-PAUSE = 0.02
+SEND_BATCH_HOSTS = 6
+SEND_BATCH_PAUSE_SECONDS = 0.02
 """Hosts to which the same is sent at once, and seconds to the next ones. A
 host that sends to its whole region in one go fills a link of 20 Mbit/s, and
 what it sends last, to other regions, is always lost."""
 
-FAR_ANSWER = 6.5
+REMOTE_REPLY_SECONDS = 6.5
 """Seconds within which a host of another region must answer a report: the
 third in a row is without an answer by then."""
 
-CONTACTS = 3
+MAX_CONTACTS = 3
 """Hosts of a region that a host reports to: the one that places, and two
 that would follow. With two, the loss of a data centre leaves a region
 without any one time in two. Placing hosts report to as many elsewhere."""
 
-SUMMARY_EVERY = 0.2
+LOAD_REPORT_INTERVAL_SECONDS = 0.2
 """Seconds between load reports to other regions; loads change within the
 time of a few requests."""
 
-INFORMED_HOSTS = 2
+TICKET_REPORT_HOSTS = 2
 """Hosts of the region that hear of work in progress: the one that places,
 and the one that would take over."""
 
-UNCONFIRMED = 0.7
+UNCONFIRMED_TICKET_SECONDS = 0.7
 """Seconds after which a placed request that its host does not name any
 more is taken as ended."""
 
-FORGET_AFTER = 30.0
+FORGET_HOST_SECONDS = 30.0
 """Seconds without a word after which a host is forgotten."""
 
 
@@ -89,7 +89,7 @@
         store_changed: Called with a `StoreChange` of another host.
         sharing: The `CrashSharing`.
         notices: The `Notices`.
-        views: The `ViewChecking`.
+        views: The `ViewVerifier`.
     """
 
     def __init__(
@@ -115,29 +115,29 @@
         self.changed = changed
         self.sharing = sharing
         self.notices = notices
-        self.beats = 0
-        self.far_contacts = []
-        self.was_live = set()
+        self.heartbeats_sent = 0
+        self.remote_contacts = []
+        self.previously_live = set()
         self.rosters = Rosters(members, datagrams, clock)
         self.handlers = {
-            Heartbeat: self.take_heartbeat,
-            Roster: self.take_roster,
-            RecordsAsk: self.rosters.tell_records,
-            Records: self.rosters.take_records,
-            AskMessage: self.take_ask,
-            GrantMessage: self.take_answer,
-            RefusalMessage: self.take_answer,
-            LimitMessage: self.take_answer,
+            Heartbeat: self.handle_heartbeat,
+            Roster: self.handle_roster,
+            RecordsAsk: self.rosters.handle_records_request,
+            Records: self.rosters.handle_records,
+            AskMessage: self.handle_placement_query,
+            GrantMessage: self.handle_placement_reply,
+            RefusalMessage: self.handle_placement_reply,
+            LimitMessage: self.handle_placement_reply,
             TransferAsk: asking.limiting.take_question,
             Transfer: asking.limiting.take_transfer,
-            StartMessage: self.take_start,
-            EndMessage: self.take_end,
-            Summary: self.take_summary,
+            StartMessage: self.handle_attempt_started,
+            EndMessage: self.handle_attempt_ended,
+            Summary: self.handle_load_report,
             StoreChange: store_changed,
             Suspects: sharing.take,
             NoticeRows: notices.take,
-            ViewAsk: views.take_question,
-            ViewAnswer: views.take_answer,
+            ViewAsk: views.handle_request,
+            ViewAnswer: views.handle_response,
         }
 
     def receive(self, message, ip):
@@ -155,29 +155,32 @@
             return
         self.handlers[type(message)](message)
 
-    def beat(self):
+    def send_heartbeats(self):
         """Report to a few hosts, answer those that report to this one."""
         now = self.clock.seconds()
         region = self.members.own.region
-        contacts = self.members.contacts(now, region, CONTACTS)
-        probed = self.members.probed(now, region, self.beats)
-        self.report(contacts)
+        contacts = self.members.contacts(now, region, MAX_CONTACTS)
+        probed = self.members.probed(now, region, self.heartbeats_sent)
+        self.report_to_contacts(contacts)
         self.datagrams.send_all(
             self.heartbeat(Report.HEARTBEATS),
             [one for one in probed if one not in contacts],
         )
-        self.beats += 1
-        if self.beats % FAR_BEATS == 0 and self.places(now):
-            self.report_far(now)
+        self.heartbeats_sent += 1
+        if (
+            self.heartbeats_sent % REMOTE_INTERVAL_HEARTBEATS == 0
+            and self.is_placing(now)
+        ):
+            self.report_to_remote_regions(now)
         reporting = self.members.reporting(now)
-        self.send_to_many(
+        self.send_in_batches(
             self.heartbeat(),
             [one for one in reporting if one not in contacts],
         )
         self.send_rosters(reporting, now)
-        self.notice_gone(now)
+        self.update_live_hosts(now)
 
-    def report(self, contacts):
+    def report_to_contacts(self, contacts):
         """Send heartbeats to the hosts that this one reports to.
 
         The first of them tells of all others.
@@ -186,10 +189,13 @@
         reports = (
             (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
             (
-                contacts[1:INFORMED_HOSTS],
+                contacts[1:TICKET_REPORT_HOSTS],
                 self.heartbeat(Report.HEARTBEATS, tickets),
             ),
-            (contacts[INFORMED_HOSTS:], self.heartbeat(Report.HEARTBEATS)),
+            (
+                contacts[TICKET_REPORT_HOSTS:],
+                self.heartbeat(Report.HEARTBEATS),
+            ),
         )
         for members, message in reports:
             if members:
@@ -199,57 +205,63 @@
         """Tell who lives, to those that count on this host for it."""
         wanting = [one for one in reporting if one.wants is Report.ROSTERS]
         regions = []
-        if self.beats % ROSTER_BEATS == 0:
+        if self.heartbeats_sent % ROSTER_INTERVAL_HEARTBEATS == 0:
             regions.append(self.members.own.region)
-        if self.beats % FAR_BEATS == 1:
+        if self.heartbeats_sent % REMOTE_INTERVAL_HEARTBEATS == 1:
             regions += self.other_regions()
         for region in regions if wanting else ():
-            self.send_to_many(self.rosters.roster(region, now), wanting)
+            self.send_in_batches(self.rosters.roster(region, now), wanting)
 
     def other_regions(self):
         """Return the other regions of which hosts are known."""
         known = {member.region for member in self.members.others.values()}
         return sorted(known - {self.members.own.region})
 
-    def report_far(self, now):
+    def report_to_remote_regions(self, now):
         """Tell a few hosts of each other region who lives here.
 
         A roster is believed only from a host that is known; the heartbeat
         makes this one known.
         """
-        self.far_contacts = self.choose_far(self.other_regions(), now)
-        self.datagrams.send_all(self.heartbeat(), self.far_contacts)
+        self.remote_contacts = self.choose_remote_contacts(
+            self.other_regions(), now
+        )
+        self.datagrams.send_all(self.heartbeat(), self.remote_contacts)
         roster = self.rosters.roster(self.members.own.region, now)
-        self.datagrams.send_all(roster, self.far_contacts)
+        self.datagrams.send_all(roster, self.remote_contacts)
 
-    def send_to_many(self, message, members):
+    def send_in_batches(self, message, members):
         """Send *message* to hosts of the region, a few at a time."""
-        for first in range(0, len(members), AT_ONCE):
-            some = members[first : first + AT_ONCE]
+        for first in range(0, len(members), SEND_BATCH_HOSTS):
+            some = members[first : first + SEND_BATCH_HOSTS]
             if not first:
                 self.datagrams.send_all(message, some)
                 continue
             self.clock.callLater(
-                PAUSE * first / AT_ONCE,
+                SEND_BATCH_PAUSE_SECONDS * first / SEND_BATCH_HOSTS,
                 self.datagrams.send_all,
                 message,
                 some,
             )
 
-    def choose_far(self, regions, now):
+    def choose_remote_contacts(self, regions, now):
         """Return the hosts of other regions to report to."""
         chosen = []
         for region in regions:
-            chosen += self.members.contacts(now, region, CONTACTS, FAR_ANSWER)
-            probed = self.members.probed(now, region, self.beats // FAR_BEATS)
+            chosen += self.members.contacts(
+                now, region, MAX_CONTACTS, REMOTE_REPLY_SECONDS
+            )
+            probed = self.members.probed(
+                now, region, self.heartbeats_sent // REMOTE_INTERVAL_HEARTBEATS
+            )
             chosen += [one for one in probed if one not in chosen]
         return chosen
 
-    def places(self, now):
+    def is_placing(self, now):
         """Whether this host places for its region."""
         return self.members.placers(now)[0] is self.members.own
 
-    def welcome(self, member):
+    def send_initial_state(self, member):
         """Tell a host that has just started what it needs at once.
 
         Until it has heard of other hosts and of their load it refuses
@@ -259,8 +271,8 @@
             return
         self.datagrams.send(self.heartbeat(), member.control)
         far = member.region != self.members.own.region
-        if far and self.places(self.clock.seconds()):
-            self.datagrams.send(self.summary(), member.control)
+        if far and self.is_placing(self.clock.seconds()):
+            self.datagrams.send(self.load_report(), member.control)
 
     def heartbeat(self, report=Report.NONE, tickets=None):
         """Return the heartbeat of this moment.
@@ -290,24 +302,24 @@
             self.notices.digest,
         )
 
-    def notice_gone(self, now):
+    def update_live_hosts(self, now):
         """Forget the work of hosts that fell silent."""
         live = {member.name for member in self.members.live(now)}
-        for name in self.was_live - live:
+        for name in self.previously_live - live:
             self.placer.forget_host(name, now)
             self.timeline.note(EventKind.PEER_GONE, peer=name)
-        for name in live - self.was_live:
+        for name in live - self.previously_live:
             self.timeline.note(EventKind.PEER_SEEN, peer=name)
-        self.was_live = live
-        self.members.forget_silent(now, FORGET_AFTER)
+        self.previously_live = live
+        self.members.forget_silent(now, FORGET_HOST_SECONDS)
 
-    def far_hosts_to_tell(self):
+    def remote_hosts_to_notify(self):
         """Return the hosts of other regions to tell news, if this places."""
-        if not self.places(self.clock.seconds()):
+        if not self.is_placing(self.clock.seconds()):
             return []
-        return self.far_contacts
+        return self.remote_contacts
 
-    def spread(self, message):
+    def broadcast_in_region(self, message):
         """Send *message* to all other hosts of the region."""
         region = self.members.own.region
         others = self.members.others.values()
@@ -315,22 +327,22 @@
             message, [one for one in others if one.region == region]
         )
 
-    def summarize(self):
+    def send_load_report(self):
         """Tell the other regions this one's load, if this host places."""
         now = self.clock.seconds()
         self.placer.sweep(now)
-        if self.far_contacts and self.places(now):
-            self.datagrams.send_all(self.summary(), self.far_contacts)
+        if self.remote_contacts and self.is_placing(now):
+            self.datagrams.send_all(self.load_report(), self.remote_contacts)
 
-    def summary(self):
+    def load_report(self):
         """Return this region's load as this host sees it."""
         loads = self.placer.summarize(self.clock.seconds())
         return Summary(
             self.members.own.region,
-            {service: told_load(load) for service, load in loads.items()},
+            {service: encode_load(load) for service, load in loads.items()},
         )
 
-    def take_heartbeat(self, message):
+    def handle_heartbeat(self, message):
         """Note that a host is up, and what it has."""
         now = self.clock.seconds()
         member = self.members.others.get(message.host)
@@ -340,7 +352,7 @@
             if learned is not member:
                 member = learned
                 self.placer.forget_host(message.host, now)
-                self.welcome(member)
+                self.send_initial_state(member)
         if member is None or message.incarnation != member.incarnation:
             return
         member.heard_at = now
@@ -354,16 +366,16 @@
         member.version = message.version
         member.revisions = message.revisions
         if leaves:
-            self.tell_leaving(member, now)
+            self.announce_leaving(member, now)
         own = self.members.own
         if member.is_ahead(own.version, own.revisions):
             self.changed(member)
         self.sharing.compare(member, message.crashes)
         self.notices.compare(member, message.notices)
         if message.tickets is not None:
-            self.take_tickets(message, now)
+            self.handle_tickets(message, now)
 
-    def tell_leaving(self, member, now):
+    def announce_leaving(self, member, now):
         """Tell at once that a host is about to leave.
 
         It serves on for little longer than callers keep an answer of the
@@ -374,45 +386,47 @@
             for one in self.members.reporting(now)
             if one.wants is Report.ROSTERS
         ]
-        self.send_to_many(self.rosters.about(member, now), wanting)
+        self.send_in_batches(
+            self.rosters.single_host_roster(member, now), wanting
+        )
 
-    def take_roster(self, message):
+    def handle_roster(self, message):
         """Note which hosts live; answer a host of another region.
 
         Right after a start that one may know just a few hosts here, and
         not the one that places. It learns of the others by the roster.
         """
-        self.rosters.take(message)
+        self.rosters.handle_roster(message)
         sender = self.members.others.get(message.host)
         own = self.members.own.region
         if sender is None or sender.region == own:
             return
         self.datagrams.send(self.heartbeat(), sender.control)
         now = self.clock.seconds()
-        if not self.places(now):
+        if not self.is_placing(now):
             roster = self.rosters.roster(own, now)
             self.datagrams.send(roster, sender.control)
 
-    def take_tickets(self, message, now):
+    def handle_tickets(self, message, now):
         """Make the work of a host agree with what it says."""
         numbers = {ticket.number for ticket in message.tickets}
         self.placer.keep_only(
-            message.host, numbers, now, older_than=UNCONFIRMED
+            message.host, numbers, now, older_than=UNCONFIRMED_TICKET_SECONDS
         )
         for row in message.tickets:
-            self.placer.adopt(ticket_of(message.host, row, now), now)
+            self.placer.adopt(decode_ticket(message.host, row, now), now)
 
-    def take_ask(self, message):
+    def handle_placement_query(self, message):
         """Place a request of another host."""
         member = self.members.others.get(message.host)
         if member is not None:
             self.asking.take_question(message, member)
 
-    def take_answer(self, message):
+    def handle_placement_reply(self, message):
         """Take the decision of a placing host."""
         self.asking.take_answer(message)
 
-    def take_start(self, message):
+    def handle_attempt_started(self, message):
         """Note the first event of another host's request."""
         self.placer.note_start(
             message.host,
@@ -421,7 +435,7 @@
             self.clock.seconds(),
         )
 
-    def take_end(self, message):
+    def handle_attempt_ended(self, message):
         """Note the end of another host's attempt."""
         self.asking.take_end(
             message.host,
@@ -430,20 +444,20 @@
             Finding(message.finding),
         )
 
-    def take_summary(self, message):
+    def handle_load_report(self, message):
         """Take over another region's load."""
         now = self.clock.seconds()
         self.placer.take_load(
             message.region,
             {
-                service: heard_load(load)
+                service: decode_load(load)
                 for service, load in message.loads.items()
             },
             now,
         )
 
 
-def told_load(load):
+def encode_load(load):
     """Return the `ServiceLoad` of a `RegionLoad`."""
     rooms = [
         ToldRoom(
@@ -457,7 +471,7 @@
     return ServiceLoad(load.slots, rooms, list(load.read))
 
 
-def heard_load(load):
+def decode_load(load):
     """Return the `RegionLoad` of a `ServiceLoad`."""
     rooms = [
         Room(
@@ -472,7 +486,7 @@
     return RegionLoad(load.slots, tuple(rooms), tuple(load.read))
 
 
-def ticket_of(host, row, now):
+def decode_ticket(host, row, now):
     """Return the `Ticket` of a row in a heartbeat."""
     return Ticket(
         host=host,
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -8,54 +8,54 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError
 from ..core.sentinels import NOTHING
-from .provenance import Origin, Way
+from .provenance import Channel, Origin
 
 __all__ = [
-    "REMOVALS_KEPT",
+    "MAX_REMOVALS",
     "Changes",
-    "Contact",
-    "Follower",
+    "StoreContact",
+    "PrefixWatcher",
     "HistoryLostError",
     "Mirror",
     "Removal",
 ]
 
-WATCH_SECONDS = 12.0
+WATCH_WAIT_SECONDS = 12.0
 """Seconds for which a watch waits; a call is paid for each, and a silent
 connection shows by its own probes well before."""
 
-WATCH_PAUSE = 0.2
+WATCH_PAUSE_SECONDS = 0.2
 """Seconds between an answer of a watch that brought something and the next
 call. Changes come in bursts, when servers register or are replaced, and
 each answer is paid for; the bounds on changes are several seconds."""
 
-STARTING_PAUSE = 0.8
+STARTING_PAUSE_SECONDS = 0.8
 """The same for a host that has just started, and so watches until it hears
 of those that watch for it. When all start together each would make five
 calls while servers register."""
 
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 0.8
+MIN_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 0.8
 """Bounds of the pause after a failed call, in seconds: at most one call a
 second from each host while the store is away."""
 
-UNKNOWING_PAUSE = 0.3
+MAX_INITIAL_RETRY_SECONDS = 0.3
 """Longest pause of a host that has never read the store: it serves nobody
 until it has."""
 
-OVERTAKEN_FOR = 0.9
+WATCH_LAG_SECONDS = 0.9
 """Seconds for which a watch may lack what the mirror has by other ways. A
 watch that lives brings it within a few round trips."""
 
-LOST_AFTER = 0.6
+STORE_DOWN_SECONDS = 0.6
 """Seconds of failing calls after which the store counts as away."""
 
-RETURN_SECONDS = 2.2
+RECOVERY_SECONDS = 2.2
 """Seconds after the store's return in which lapsed registrations may
 still come back."""
 
 
-REMOVALS_KEPT = 1000
+MAX_REMOVALS = 1000
 """Removed keys that are remembered; word of a change that is later than a
 thousand removals does not arrive any more."""
 
@@ -114,9 +114,9 @@
         self.removals = {}
         self.written = written
         self.removed = removed
-        self.newest = 0
-        self.latest = 0
-        self.known = False
+        self.newest_revision = 0
+        self.newest_change_revision = 0
+        self.loaded = False
         self.origin = NOTHING
 
     def replace(self, entries, newest, *, outage=False, origin=NOTHING):
@@ -131,14 +131,14 @@
         self.origin = origin
         listed = {entry.key for entry in entries}
         for key in [key for key in self.entries if key not in listed]:
-            self.drop(Removal(key, newest), outage)
+            self.remove(Removal(key, newest), outage)
         for entry in entries:
             if self.removals.get(entry.key, newest) < newest:
                 # It exists at a later revision than that removal.
                 del self.removals[entry.key]
             self.put(entry)
-        self.newest = max(self.newest, newest)
-        self.known = True
+        self.newest_revision = max(self.newest_revision, newest)
+        self.loaded = True
 
     def difference(self, listing):
         """Return the `Changes` that a listing brings."""
@@ -170,7 +170,7 @@
         elsewhere read a copy. One that is older than what the watch has
         brought lacks keys that were written since.
         """
-        if listing.revision < self.newest:
+        if listing.revision < self.newest_revision:
             return
         listed = {entry.key: entry.revision for entry in listing.entries}
         known = {one.key: one.revision for one in self.entries.values()}
@@ -178,7 +178,7 @@
             self.replace(
                 listing.entries,
                 listing.revision,
-                origin=Origin(Way.LISTING),
+                origin=Origin(Channel.LISTING),
             )
 
     def apply(self, changes, *, outage=False, origin=NOTHING):
@@ -187,10 +187,12 @@
         rows = [(entry.revision, entry) for entry in changes.entries]
         rows += [(removal.revision, removal) for removal in changes.removals]
         for revision, row in sorted(rows, key=lambda pair: pair[0]):
-            self.newest = max(self.newest, revision)
+            self.newest_revision = max(self.newest_revision, revision)
             if isinstance(row, Removal):
-                self.latest = max(self.latest, revision)
-                self.drop(row, outage)
+                self.newest_change_revision = max(
+                    self.newest_change_revision, revision
+                )
+                self.remove(row, outage)
             else:
                 self.put(row)
 
@@ -202,29 +204,31 @@
         if self.removals.get(entry.key, 0) >= entry.revision:
             return
         self.entries[entry.key] = entry
-        self.newest = max(self.newest, entry.revision)
-        self.latest = max(self.latest, entry.revision)
+        self.newest_revision = max(self.newest_revision, entry.revision)
+        self.newest_change_revision = max(
+            self.newest_change_revision, entry.revision
+        )
         self.written(entry)
 
-    def drop(self, removal, outage):
+    def remove(self, removal, outage):
         """Remove one key unless it was written again since."""
         known = self.entries.get(removal.key)
         if known is not None and known.revision > removal.revision:
             return
-        self.remember(removal)
+        self.record_removal(removal)
         if known is not None:
             del self.entries[removal.key]
             self.removed(removal.key, outage)
 
-    def remember(self, removal):
+    def record_removal(self, removal):
         """Remember a removal, and forget the oldest if there are many."""
         before = self.removals.pop(removal.key, 0)
         self.removals[removal.key] = max(before, removal.revision)
-        if len(self.removals) > REMOVALS_KEPT:
+        if len(self.removals) > MAX_REMOVALS:
             del self.removals[next(iter(self.removals))]
 
 
-class Contact:
+class StoreContact:
     """When the store was last heard, and since when it is away.
 
     Args:
@@ -235,62 +239,65 @@
     def __init__(self, clock, timeline):
         self.clock = clock
         self.timeline = timeline
-        self.heard_at = NOTHING
+        self.last_reply_at = NOTHING
         self.failing_since = NOTHING
-        self.back_at = NOTHING
-        self.away = False
+        self.recovered_at = NOTHING
+        self.unavailable = False
 
-    def heard(self):
+    def record_reply(self):
         """Note an answer of the store."""
         now = self.clock.seconds()
-        self.heard_at = now
+        self.last_reply_at = now
         self.failing_since = NOTHING
-        if self.away:
-            self.away = False
-            self.back_at = now
+        if self.unavailable:
+            self.unavailable = False
+            self.recovered_at = now
             self.timeline.note(EventKind.PLATFORM_BACK)
 
-    def failed(self, why):
+    def record_failure(self, why):
         """Note a call without an answer."""
         now = self.clock.seconds()
         if self.failing_since is NOTHING:
             self.failing_since = now
-        if now - self.failing_since >= LOST_AFTER and not self.away:
-            self.away = True
+        if (
+            now - self.failing_since >= STORE_DOWN_SECONDS
+            and not self.unavailable
+        ):
+            self.unavailable = True
             self.timeline.note(EventKind.PLATFORM_DOWN, why=why)
 
     @property
     def age(self):
         """Seconds since the store was heard."""
-        if self.heard_at is NOTHING:
+        if self.last_reply_at is NOTHING:
             return 1e6
-        return self.clock.seconds() - self.heard_at
+        return self.clock.seconds() - self.last_reply_at
 
     @property
-    def returning(self):
+    def recovering(self):
         """Whether the store is away or has come back a moment ago."""
-        if self.away or self.failing_since is not NOTHING:
+        if self.unavailable or self.failing_since is not NOTHING:
             return True
-        if self.back_at is NOTHING:
+        if self.recovered_at is NOTHING:
             return False
-        return self.clock.seconds() - self.back_at < RETURN_SECONDS
+        return self.clock.seconds() - self.recovered_at < RECOVERY_SECONDS
 
 
-class Follower:
+class PrefixWatcher:
     """Keep a `Mirror` of one prefix current.
 
     Args:
         store: The client of the store.
         prefix: The prefix.
         mirror: The `Mirror`.
-        contact: The `Contact`.
+        contact: The `StoreContact`.
         clock: The runtime's clock.
         rng: Random number generator.
         changed: Called with the `Changes` that a watch has brought, and
             whether the store had been away, before the mirror has them.
-        asking: Called with the prefix before a listing; returns what is
-            to be called when the mirror has it.
-        starting: Called for whether this host has just started.
+        before_listing: Called with the prefix before a listing; returns a
+            callable to call when the mirror has it.
+        is_starting: Called for whether this host has just started.
     """
 
     def __init__(
@@ -302,8 +309,8 @@
         clock,
         rng,
         changed,
-        asking,
-        starting,
+        before_listing,
+        is_starting,
     ):
         self.store = store
         self.prefix = prefix
@@ -312,15 +319,15 @@
         self.clock = clock
         self.rng = rng
         self.changed = changed
-        self.asking = asking
-        self.starting = starting
-        self.after = NOTHING
-        self.heard_at = NOTHING
-        self.waiting = NOTHING
-        self.waiting_since = NOTHING
-        self.overtaken_at = NOTHING
-        self.renewing = False
-        self.pause = FIRST_PAUSE
+        self.before_listing = before_listing
+        self.is_starting = is_starting
+        self.after_revision = NOTHING
+        self.last_reply_at = NOTHING
+        self.pending_watch = NOTHING
+        self.watch_started_at = NOTHING
+        self.behind_since = NOTHING
+        self.restarting = False
+        self.retry_delay = MIN_RETRY_SECONDS
         self.running = True
         self.work = NOTHING
 
@@ -345,25 +352,25 @@
         while self.running:
             try:
                 await self.step()
-                self.pause = FIRST_PAUSE
+                self.retry_delay = MIN_RETRY_SECONDS
             except HistoryLostError:
-                self.contact.heard()
-                self.after = NOTHING
+                self.contact.record_reply()
+                self.after_revision = NOTHING
             except (KeyValueError, defer.CancelledError) as problem:
-                self.after = NOTHING
+                self.after_revision = NOTHING
                 if not self.running:
                     return
-                if self.renewing:
-                    self.renewing = False
+                if self.restarting:
+                    self.restarting = False
                     continue
-                self.contact.failed(problem)
-                await self.wait()
+                self.contact.record_failure(problem)
+                await self.back_off()
             except Exception:  # noqa: BLE001 - written to the log
                 self.contact.timeline.note(
                     EventKind.UNEXPECTED, error=Failure().getTraceback()
                 )
-                self.after = NOTHING
-                await self.wait()
+                self.after_revision = NOTHING
+                await self.back_off()
 
     async def step(self):
         """Make one call and take over its answer.
@@ -374,42 +381,48 @@
         it has missed them, until the next change. Requests would be
         handled by an old configuration, and go to servers that leave.
         """
-        if self.after is NOTHING:
-            outage = self.contact.returning
-            listed = self.asking(self.prefix)
+        if self.after_revision is NOTHING:
+            outage = self.contact.recovering
+            listed = self.before_listing(self.prefix)
             listing = await self.store.list(self.prefix)
-            self.heard()
-            self.take_listing(listing, outage=outage and self.mirror.known)
-            self.after = listing.revision
+            self.record_reply()
+            self.apply_listing(listing, outage=outage and self.mirror.loaded)
+            self.after_revision = listing.revision
             listed()
             return
         changes = await self.watch()
-        outage = self.contact.returning
-        self.heard()
+        outage = self.contact.recovering
+        self.record_reply()
         if not changes.entries and not changes.removals:
-            if changes.revision > self.after:
-                self.after = NOTHING
+            if changes.revision > self.after_revision:
+                self.after_revision = NOTHING
             return
         self.changed(self.prefix, changes, outage)
-        self.mirror.apply(changes, outage=outage, origin=Origin(Way.WATCH))
-        self.after = max(self.after, changes.revision)
-        pause = STARTING_PAUSE if self.starting() else WATCH_PAUSE
+        self.mirror.apply(changes, outage=outage, origin=Origin(Channel.WATCH))
+        self.after_revision = max(self.after_revision, changes.revision)
+        pause = (
+            STARTING_PAUSE_SECONDS
+            if self.is_starting()
+            else WATCH_PAUSE_SECONDS
+        )
         await task.deferLater(self.clock, pause)
 
     async def watch(self):
         """Wait for changes."""
-        self.waiting_since = self.clock.seconds()
-        self.waiting = defer.ensureDeferred(
-            self.store.watch(self.prefix, self.after, WATCH_SECONDS)
+        self.watch_started_at = self.clock.seconds()
+        self.pending_watch = defer.ensureDeferred(
+            self.store.watch(
+                self.prefix, self.after_revision, WATCH_WAIT_SECONDS
+            )
         )
         try:
-            return await self.waiting
+            return await self.pending_watch
         finally:
-            self.waiting = NOTHING
+            self.pending_watch = NOTHING
 
-    def take_listing(self, listing, *, outage):
+    def apply_listing(self, listing, *, outage):
         """Take over a listing, and pass on what was not known."""
-        if self.mirror.known:
+        if self.mirror.loaded:
             changes = self.mirror.difference(listing)
             if changes.entries or changes.removals:
                 self.changed(self.prefix, changes, outage)
@@ -417,59 +430,66 @@
             listing.entries,
             listing.revision,
             outage=outage,
-            origin=Origin(Way.LISTING),
+            origin=Origin(Channel.LISTING),
         )
 
-    def take_probe(self, changes):
+    def apply_probe(self, changes):
         """Take over what a probe has found beside the watch."""
-        self.heard()
+        self.record_reply()
         if not changes.entries and not changes.removals:
             return
-        outage = self.contact.returning
+        outage = self.contact.recovering
         self.changed(self.prefix, changes, outage)
-        self.mirror.apply(changes, outage=outage, origin=Origin(Way.PROBE))
+        self.mirror.apply(changes, outage=outage, origin=Origin(Channel.PROBE))
 
-    def note_listing(self, prefix):
+    def record_listing(self, prefix):
         """Note that the mirror was confirmed beside the watch."""
-        if prefix == self.prefix and self.heard_at is not NOTHING:
-            self.heard_at = self.clock.seconds()
+        if prefix == self.prefix and self.last_reply_at is not NOTHING:
+            self.last_reply_at = self.clock.seconds()
 
     def check(self):
         """Begin anew if the watch lacks what the mirror has."""
         now = self.clock.seconds()
-        if self.waiting is NOTHING or self.mirror.latest <= self.after:
-            self.overtaken_at = NOTHING
-        elif self.overtaken_at is NOTHING:
-            self.overtaken_at = now
-        elif now - self.overtaken_at >= OVERTAKEN_FOR:
-            self.renew("overtaken")
-
-    def renew(self, why):
+        if (
+            self.pending_watch is NOTHING
+            or self.mirror.newest_change_revision <= self.after_revision
+        ):
+            self.behind_since = NOTHING
+        elif self.behind_since is NOTHING:
+            self.behind_since = now
+        elif now - self.behind_since >= WATCH_LAG_SECONDS:
+            self.restart("overtaken")
+
+    def restart(self, why):
         """Begin anew with a listing, as the watch that waits may be dead.
 
         Args:
             why: What speaks against it, for the time line.
         """
-        if self.waiting is NOTHING or self.renewing:
+        if self.pending_watch is NOTHING or self.restarting:
             return
         self.contact.timeline.note(
             EventKind.WATCH_RENEWED,
             prefix=self.prefix,
             why=why,
-            waited=round(self.clock.seconds() - self.waiting_since, 1),
+            waited=round(self.clock.seconds() - self.watch_started_at, 1),
         )
-        self.overtaken_at = NOTHING
-        self.renewing = True
-        self.waiting.cancel()
+        self.behind_since = NOTHING
+        self.restarting = True
+        self.pending_watch.cancel()
 
-    def heard(self):
+    def record_reply(self):
         """Note an answer to a listing, a watch or a probe."""
-        self.heard_at = self.clock.seconds()
-        self.contact.heard()
+        self.last_reply_at = self.clock.seconds()
+        self.contact.record_reply()
 
-    def wait(self):
+    def back_off(self):
         """Wait before the next try, longer each time, never in step."""
-        pause = self.pause * (0.5 + self.rng.random())
-        longest = LONGEST_PAUSE if self.mirror.known else UNKNOWING_PAUSE
-        self.pause = min(longest, self.pause * 2)
+        pause = self.retry_delay * (0.5 + self.rng.random())
+        longest = (
+            MAX_RETRY_SECONDS
+            if self.mirror.loaded
+            else MAX_INITIAL_RETRY_SECONDS
+        )
+        self.retry_delay = min(longest, self.retry_delay * 2)
         return task.deferLater(self.clock, pause)
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -35,39 +35,43 @@
 from .crashstore import CrashStore
 from .datagrams import LONGEST, Datagrams
 from .endings import Endings
-from .farhosts import FarHosts
-from .following import Following
 from .limiting import TRANSFERS_EVERY, Limiting, Standing
 from .lines import LineWriter
 from .measures import Measures
-from .membership import HEARTBEAT_EVERY, SUMMARY_EVERY, Membership
-from .mirrors import Contact
+from .membership import (
+    HEARTBEAT_INTERVAL_SECONDS,
+    LOAD_REPORT_INTERVAL_SECONDS,
+    Membership,
+)
+from .mirrors import StoreContact
 from .notices import Notices
 from .provenance import Provenance
 from .relaying import RelayApi
+from .remotehosts import RemoteHosts
 from .state import EntryState
-from .views import ConfirmedView, ViewChecking
+from .storesync import StoreSync
+from .views import ConfirmedView, ViewVerifier
 from .web import WebFactory
 
 __all__ = ["EntryProcess", "main"]
 
-CHECK_EVERY = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 """Seconds between looks at requests in progress; a request is answered
 at most this much after its time."""
 
-FLUSH_EVERY = 0.25
+LOG_FLUSH_INTERVAL_SECONDS = 0.25
 """Seconds between writes of log lines."""
 
 PEER_IDLE_SECONDS = 30.0
 """Seconds for which a connection of another host may idle; the other side
 stops using it much sooner."""
 
-SEND_OUT = 0.25
+SOCKET_FLUSH_SECONDS = 0.25
 """Seconds between the end of the last request and the end of the process.
 The end of an answer is still in the buffer of its connection then; a
 process that ended at once would cut an answer that was whole."""
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 
 
 class EntryProcess:
@@ -99,7 +103,7 @@
         self.reactor = reactor
         self.rng = rng
         self.wall = wall
-        self.began = reactor.seconds()
+        self.started_at = reactor.seconds()
         self.lines = LineWriter(reactor, write)
         self.measures = Measures(self.gauges)
         self.timeline = Timeline(
@@ -111,10 +115,10 @@
         self.ports = []
         self.factories = []
         self.loops = []
-        self.make_traffic(boot_clock, wall)
-        self.make_services()
+        self.build_state(boot_clock, wall)
+        self.build_services()
 
-    def make_traffic(self, boot_clock, wall):
+    def build_state(self, boot_clock, wall):
         """Make what decides, and the state that all parts share."""
         settings = self.settings
         self.keeper = ConfigurationKeeper()
@@ -128,15 +132,15 @@
             settings.region,
             self.registry,
             self.service,
-            self.cold_bound,
+            self.cold_rate_limit,
             self.rng,
             self.members.regions,
             limits=self.server_limits,
-            started_at=self.began,
-            off=settings.off,
+            started_at=self.started_at,
+            off=settings.disabled_mechanisms,
         )
         self.datagrams = Datagrams(
-            lambda message, ip: self.guarded(
+            lambda message, ip: self.run_guarded(
                 lambda: self.membership.receive(message, ip)
             ),
             lambda why: self.timeline.note(EventKind.PEER_REFUSED, why=why),
@@ -158,7 +162,7 @@
             self.reactor,
             self.rng,
             standing,
-            lambda: self.membership.far_contacts,
+            lambda: self.membership.remote_contacts,
         )
         self.asking = Asking(
             self.members,
@@ -170,7 +174,7 @@
             self.timeline,
             self.limiting,
             self.rests,
-            self.guarded,
+            self.run_guarded,
         )
         connections = Connections(self.reactor, settings.address)
         view = ConfirmedView(
@@ -182,7 +186,7 @@
             self.datagrams,
             self.reactor,
             self.timeline,
-            lambda: self.membership.far_hosts_to_tell(),
+            lambda: self.membership.remote_hosts_to_notify(),
             lambda suspect: self.crash_store.save(suspect),
         )
         self.state = EntryState(
@@ -195,10 +199,10 @@
             members=self.members,
             asking=self.asking,
             connections=connections,
-            far_hosts=FarHosts(
+            remote_hosts=RemoteHosts(
                 self.members, connections, self.reactor, self.rng
             ),
-            contact=Contact(self.reactor, self.timeline),
+            contact=StoreContact(self.reactor, self.timeline),
             view=view,
             provenance=Provenance(self.keeper, view, self.reactor),
             retries=RetryWindow(
@@ -223,27 +227,29 @@
                 connections,
                 self.reactor,
                 self.timeline,
-                lambda message: self.membership.spread(message),
+                lambda message: self.membership.broadcast_in_region(message),
             ),
             codec=headers,
         )
 
-    def make_services(self):
+    def build_services(self):
         """Make what talks to the store, to hosts and to callers."""
         store = PlatformStore(
             self.settings.store,
             self.state.connections,
             self.reactor,
-            lambda sent_at: self.following.store_silent(sent_at),
+            lambda sent_at: self.store_sync.restart_older_watches(sent_at),
         )
-        self.following = Following(
+        self.store_sync = StoreSync(
             self.state,
             store,
             layout,
-            applied=self.configured,
-            found_hosts=lambda: self.membership.beat(),
-            spread=lambda message: self.membership.spread(message),
-            found_crash=lambda entry: self.crash_store.load(entry),
+            on_applied=self.on_configuration_applied,
+            on_hosts_read=lambda: self.membership.send_heartbeats(),
+            broadcast=lambda message: self.membership.broadcast_in_region(
+                message
+            ),
+            on_crash_found=lambda entry: self.crash_store.load(entry),
         )
         self.crash_store = CrashStore(
             store,
@@ -251,17 +257,17 @@
             self.reactor,
             self.wall,
             self.timeline,
-            self.following.spawn,
+            self.store_sync.spawn,
         )
-        self.views = ViewChecking(
+        self.views = ViewVerifier(
             self.state.view,
             self.keeper,
             self.members,
             self.datagrams,
             self.reactor,
             self.timeline,
-            self.following.read_configuration,
-            lambda: self.membership.far_contacts,
+            self.store_sync.read_configuration,
+            lambda: self.membership.remote_contacts,
         )
         self.membership = Membership(
             self.members,
@@ -270,14 +276,14 @@
             self.datagrams,
             self.reactor,
             self.timeline,
-            self.following.copies.neighbour_is_newer,
-            self.following.copies.take_change,
+            self.store_sync.replication.on_peer_ahead,
+            self.store_sync.replication.apply_change,
             self.state.sharing,
             self.state.notices,
             self.views,
         )
         self.callers = CallerApi(self.state, self.views)
-        self.relay = RelayApi(self.state, self.following.copies.snapshot)
+        self.relay = RelayApi(self.state, self.store_sync.replication.snapshot)
         self.pages = DirectoryPages(self.hosts_for, self.is_ready)
 
     def service(self, name):
@@ -286,14 +292,14 @@
             return Service(name=name)
         return self.keeper.current.service(name)
 
-    def cold_bound(self, service):
+    def cold_rate_limit(self, service):
         """Return the requests that a cold server stands in a second."""
         factor = service.cold_rate * self.settings.cold_factor
         return factor + self.settings.cold_extra
 
-    def configured(self):
+    def on_configuration_applied(self):
         """Tell the hosts of the region, and serve those that waited."""
-        self.membership.beat()
+        self.membership.send_heartbeats()
         self.callers.starting.release()
 
     def limits(self):
@@ -321,18 +327,20 @@
                 port, self.datagrams, interface=ip, maxPacketSize=LONGEST
             )
         )
-        self.following.start()
-        self.repeat(HEARTBEAT_EVERY, self.beat)
-        self.repeat(SUMMARY_EVERY, self.membership.summarize)
+        self.store_sync.start()
+        self.repeat(HEARTBEAT_INTERVAL_SECONDS, self.on_heartbeat_interval)
+        self.repeat(
+            LOAD_REPORT_INTERVAL_SECONDS, self.membership.send_load_report
+        )
         self.repeat(TRANSFERS_EVERY, self.limiting.tick)
-        self.repeat(CHECK_EVERY, self.callers.check)
-        self.repeat(FLUSH_EVERY, self.lines.flush)
+        self.repeat(CHECK_INTERVAL_SECONDS, self.callers.check)
+        self.repeat(LOG_FLUSH_INTERVAL_SECONDS, self.lines.flush)
         self.timeline.note(
             EventKind.STARTED,
             incarnation=own.incarnation,
             region=settings.region,
             data_centre=settings.data_centre,
-            without=sorted(one.label for one in settings.off),
+            without=sorted(one.label for one in settings.disabled_mechanisms),
         )
 
     def listen(self, address, handle, *, idle=0.0):
@@ -347,18 +355,18 @@
         self.factories.append(factory)
         self.ports.append(
             self.reactor.listenTCP(
-                port, factory, backlog=BACKLOG, interface=ip
+                port, factory, backlog=LISTEN_BACKLOG, interface=ip
             )
         )
 
     def repeat(self, interval, work):
         """Call *work* every *interval* seconds, now first."""
-        loop = task.LoopingCall(self.guarded, work)
+        loop = task.LoopingCall(self.run_guarded, work)
         loop.clock = self.reactor
         loop.start(interval)
         self.loops.append(loop)
 
-    def guarded(self, work):
+    def run_guarded(self, work):
         """Call *work*; a failure of it shows in the log and ends there.
 
         It must end neither periodic work nor the receipt of messages.
@@ -370,15 +378,15 @@
                 EventKind.UNEXPECTED, error=Failure().getTraceback()
             )
 
-    def beat(self):
+    def on_heartbeat_interval(self):
         """Do the work of a heartbeat interval."""
-        self.members.own.up_seconds = self.reactor.seconds() - self.began
-        self.following.tick()
+        self.members.own.up_seconds = self.reactor.seconds() - self.started_at
+        self.store_sync.tick()
         self.views.tick()
         self.state.sharing.tick()
         self.state.notices.tick()
         self.crash_store.tick()
-        self.membership.beat()
+        self.membership.send_heartbeats()
 
     def gauges(self):
         """Return the values of this moment, by name."""
@@ -397,8 +405,8 @@
             "configuration_version": self.keeper.version,
             "store_contact_age_seconds": round(self.state.contact.age, 1),
             "view_age_seconds": round(min(self.state.view.age, 1e6), 1),
-            "watch_age_seconds": self.following.watch_age,
-            "store_calls_total": self.following.store.calls,
+            "watch_age_seconds": self.store_sync.watch_age,
+            "store_calls_total": self.store_sync.store.calls,
             "connections_opened_total": self.state.connections.opened,
             "connections_unopened_total": self.state.connections.unopened,
             "datagram_bytes_sent_total": self.datagrams.bytes_sent,
@@ -424,7 +432,7 @@
         """
         now = self.reactor.seconds()
         live = self.members.named(now)
-        homes = self.homes_of(name)
+        homes = self.home_regions_of(name)
         choices = (
             [one for one in live if one.region == region],
             [one for one in live if one.region in homes],
@@ -436,7 +444,7 @@
                 return [member.front for member in members]
         return []
 
-    def homes_of(self, name):
+    def home_regions_of(self, name):
         """Return the regions that are a home of all bound routes."""
         if not self.keeper.current:
             return frozenset()
@@ -461,22 +469,22 @@
         self.timeline.note(
             EventKind.STOPPING, active=len(self.callers.exchanges)
         )
-        self.membership.beat()
-        self.following.spawn(self.following.leave())
+        self.membership.send_heartbeats()
+        self.store_sync.spawn(self.store_sync.leave())
         for factory in self.factories:
             factory.closing = True
         await self.sleep(SERVE_ON)
         end = self.settings.stop_seconds - FINISH_MARGIN
-        while self.state.stopping_for < end and self.busy():
+        while self.state.stopping_for < end and self.is_busy():
             self.factories[0].close_idle()
-            await self.sleep(CHECK_EVERY)
-        await self.sleep(SEND_OUT)
+            await self.sleep(CHECK_INTERVAL_SECONDS)
+        await self.sleep(SOCKET_FLUSH_SECONDS)
         self.timeline.note(
             EventKind.STOPPED, active=len(self.callers.exchanges)
         )
         self.lines.flush()
 
-    def busy(self):
+    def is_busy(self):
         """Whether something is in progress, or nobody could take over."""
         if self.callers.exchanges or self.relay.relayed:
             return True
@@ -489,7 +497,7 @@
         for loop in self.loops:
             if loop.running:
                 loop.stop()
-        self.following.stop()
+        self.store_sync.stop()
         for port in self.ports:
             await port.stopListening()
         for factory in self.factories:
@@ -592,7 +600,9 @@
 def main(path, metrics_port, without, check):
     """Run an entry process on the users' platform."""
     try:
-        settings = replace(read_settings(path), off=parse_off(without))
+        settings = replace(
+            read_settings(path), disabled_mechanisms=parse_off(without)
+        )
     except SettingsError as problem:
         click.echo(str(problem), err=True)
         sys.exit(EXIT_BAD_SETTINGS)
--- a/src/hyssopspring/entry/provenance.py
+++ b/src/hyssopspring/entry/provenance.py
@@ -5,14 +5,14 @@
 
 from ..core.sentinels import NOTHING
 
-__all__ = ["Origin", "Provenance", "Way"]
+__all__ = ["Origin", "Provenance", "Channel"]
 
 STORE = "store"
-OLDEST = 1e6
+NEVER_AGE_SECONDS = 1e6
 """Age in seconds that stands for "never" on a line."""
 
 
-class Way(enum.Enum):
+class Channel(enum.Enum):
     """How a change of the store reached this host."""
 
     WATCH = "watch"
@@ -27,11 +27,11 @@
     """Who told this host of a change, and how.
 
     Attributes:
-        way: The `Way`.
+        channel: The `Channel`.
         host: Name or address of the host that told, or ``store``.
     """
 
-    way: Way
+    channel: Channel
     host: str = STORE
 
 
@@ -52,7 +52,7 @@
         self.revision = 0
         self.applied_at = NOTHING
 
-    def note_applied(self, origin, revision):
+    def record_applied(self, origin, revision):
         """Note that a configuration has come into force.
 
         Args:
@@ -67,12 +67,12 @@
         """Return what lines of a request tell of the configuration."""
         if self.applied_at is NOTHING:
             return {"version": 0}
-        origin = self.origin or Origin(Way.LISTING, "")
+        origin = self.origin or Origin(Channel.LISTING, "")
         return {
             "version": self.keeper.version,
             "revision": self.revision,
-            "version_by": origin.way.value,
+            "version_by": origin.channel.value,
             "version_from": origin.host,
             "version_for": round(self.clock.seconds() - self.applied_at, 1),
-            "view_age": round(min(self.view.age, OLDEST), 1),
+            "view_age": round(min(self.view.age, NEVER_AGE_SECONDS), 1),
         }
--- a/src/hyssopspring/entry/farhosts.py
+++ b/src/hyssopspring/entry/remotehosts.py
@@ -3,9 +3,9 @@
 from ..core.sentinels import NOTHING
 from .connections import Lane
 
-__all__ = ["FarHosts"]
+__all__ = ["RemoteHosts"]
 
-PEER_IDLE = 12.0
+PEER_IDLE_SECONDS = 12.0
 """Seconds for which an idle connection to another host is kept; the other
 side closes it after 30 s."""
 
@@ -15,7 +15,7 @@
 open within 0.2 s."""
 
 
-class FarHosts:
+class RemoteHosts:
     """Choose hosts of other regions by the connections to them.
 
     A new connection to another region costs a round trip of 160 ms before
@@ -56,17 +56,17 @@
         if not hosts:
             return NOTHING
         ready = [one for one in hosts if self.connections.count(one.name)]
-        chosen = self.draw(ready or hosts)
+        chosen = self.choose_weighted(ready or hosts)
         idle = sum(self.connections.count(one.name) for one in ready)
         if idle <= SPARE_CONNECTIONS:
-            self.connections.prepare(self.lane(self.draw(hosts)))
+            self.connections.prepare(self.lane(self.choose_weighted(hosts)))
         return chosen
 
-    def draw(self, hosts):
+    def choose_weighted(self, hosts):
         """Return one of *hosts*, by what each can carry."""
         weights = [member.capacity for member in hosts]
         return self.rng.choices(hosts, weights)[0]
 
     def lane(self, member):
         """Return the `Lane` to a host of another region."""
-        return Lane(member.name, member.relay, True, PEER_IDLE)
+        return Lane(member.name, member.relay, True, PEER_IDLE_SECONDS)
--- a/src/hyssopspring/entry/copies.py
+++ b/src/hyssopspring/entry/replication.py
@@ -15,28 +15,28 @@
 from .hostentries import MEMBERS_PREFIX, encode_host
 from .messages import RemovedItem, StoreChange, StoredItem
 from .mirrors import Changes, Removal
-from .provenance import Origin, Way
+from .provenance import Channel, Origin
 
-__all__ = ["Copies", "Snapshot", "split_rows"]
+__all__ = ["Replication", "Snapshot", "split_rows"]
 
 BATCH_BYTES = 6_000
 """Bytes of items that are passed on in one datagram."""
 
-FASTEST = 1
+COMPRESSION_LEVEL = 1
 """Level of compression of a copy. One of 80 routes and 51 servers shrinks
 from 36 KB to 3 KB, and the smallest hosts have links of 5 Mbit a second."""
 
-PEER_TIMEOUT = 1.5
+PEER_TIMEOUT_SECONDS = 1.5
 """Seconds for another host's copy of the store, over its link."""
 
-PEER_PAUSE = 0.3
+PEER_READ_PAUSE_SECONDS = 0.3
 """Seconds between two reads of other hosts' copies. It is also the time
 that this host's own watch gets to bring what a neighbour has already."""
 
-NEIGHBOURS_ASKED = 2
+MAX_NEIGHBOURS_READ = 2
 """Hosts of its region, besides seeds, that a starting host asks."""
 
-PEER_IDLE = 6.0
+PEER_IDLE_SECONDS = 6.0
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
@@ -60,32 +60,40 @@
 _SNAPSHOT = msgspec.msgpack.Decoder(Snapshot)
 
 
-class Copies:
+class Replication:
     """Pass changes on, and read another host's copy when some are missed.
 
     Args:
         state: The `EntryState`.
         mirrors: `Mirror` of what operators wrote and of the servers, by
             prefix and in this order.
-        host_wrote: Called with the `Entry` of a host in a copy.
-        spread: Called with a `StoreChange` for the hosts of the region.
+        on_host_written: Called with the `Entry` of a host in a copy.
+        broadcast: Called with a `StoreChange` for the hosts of the region.
         spawn: Called with a coroutine to run.
-        unread: Called when a host that has more could not be read.
+        on_peer_unreadable: Called when a host that has more could not be read.
     """
 
-    def __init__(self, state, mirrors, host_wrote, spread, spawn, unread):
+    def __init__(
+        self,
+        state,
+        mirrors,
+        on_host_written,
+        broadcast,
+        spawn,
+        on_peer_unreadable,
+    ):
         self.state = state
         self.mirrors = mirrors
-        self.host_wrote = host_wrote
-        self.spread = spread
+        self.on_host_written = on_host_written
+        self.broadcast = broadcast
         self.spawn = spawn
-        self.unread = unread
+        self.on_peer_unreadable = on_peer_unreadable
         self.fetching = False
         self.fetch_due = 0.0
-        self.newest_told = 0
-        self.newest_told_at = 0.0
+        self.newest_reported_version = 0
+        self.newest_reported_at = 0.0
 
-    def pass_on(self, prefix, changes, outage):
+    def broadcast_changes(self, prefix, changes, outage):
         """Tell the hosts of the region what a watch has brought."""
         rows = [
             StoredItem(entry.key, entry.value, entry.revision)
@@ -96,13 +104,13 @@
             for removal in changes.removals
         ]
         rows.sort(key=lambda row: row.revision)
-        previous = self.mirrors[prefix].newest
+        previous = self.mirrors[prefix].newest_revision
         for batch in split_rows(rows):
             newest = max(previous, batch[-1].revision)
-            self.spread(self.change_of(prefix, previous, batch, outage))
+            self.broadcast(self.make_change(prefix, previous, batch, outage))
             previous = newest
 
-    def change_of(self, prefix, previous, batch, outage):
+    def make_change(self, prefix, previous, batch, outage):
         """Return the `StoreChange` of a batch.
 
         An item that is too large for a datagram is left out. The message
@@ -128,9 +136,11 @@
         order: a later change of a server would hide that an earlier one
         of the configuration was lost.
         """
-        return tuple(mirror.newest for mirror in self.mirrors.values())
+        return tuple(
+            mirror.newest_revision for mirror in self.mirrors.values()
+        )
 
-    def take_change(self, message):
+    def apply_change(self, message):
         """Take over what another host's watch has brought.
 
         A datagram may be lost. Then the next one follows on a revision
@@ -140,20 +150,20 @@
         mirror = self.mirrors.get(message.prefix)
         if mirror is None:
             return
-        seen = mirror.newest
+        seen = mirror.newest_revision
         changes = Changes(
-            tuple(entries(message.written)),
+            tuple(decode_entries(message.written)),
             tuple(Removal(row.key, row.revision) for row in message.removed),
             0,
         )
         mirror.apply(
             changes,
             outage=message.outage,
-            origin=Origin(Way.CHANGE, message.host),
+            origin=Origin(Channel.CHANGE, message.host),
         )
         if message.previous <= seen:
             return
-        mirror.newest = seen
+        mirror.newest_revision = seen
         member = self.state.members.others.get(message.host)
         if member is not None and not self.fetching:
             self.fetching = True
@@ -171,17 +181,17 @@
             for member in (*self.state.members.others.values(), own)
         ]
         copy = Snapshot(
-            self.revisions, *map(items, self.mirrors.values()), hosts
+            self.revisions, *map(encode_items, self.mirrors.values()), hosts
         )
-        return zlib.compress(_ENCODER.encode(copy), FASTEST)
+        return zlib.compress(_ENCODER.encode(copy), COMPRESSION_LEVEL)
 
-    def note_behind(self, member):
+    def record_behind(self, member):
         """Put it on the time line, once for each version that is newer."""
-        newer = max(self.newest_told, self.state.keeper.version)
+        newer = max(self.newest_reported_version, self.state.keeper.version)
         if member.version <= newer:
             return
-        self.newest_told = member.version
-        self.newest_told_at = self.state.clock.seconds()
+        self.newest_reported_version = member.version
+        self.newest_reported_at = self.state.clock.seconds()
         self.state.timeline.note(
             EventKind.CONFIG_BEHIND,
             peer=member.name,
@@ -197,23 +207,23 @@
             since: Time since when the watch waits.
             seconds: Seconds that it has to bring it.
         """
-        if self.newest_told <= self.state.keeper.version:
+        if self.newest_reported_version <= self.state.keeper.version:
             return False
-        due_at = self.newest_told_at + seconds
+        due_at = self.newest_reported_at + seconds
         return since <= due_at <= self.state.clock.seconds()
 
-    def neighbour_is_newer(self, member):
+    def on_peer_ahead(self, member):
         """Read a neighbour's copy if this host's stays behind it.
 
         A watch that fell silent, or a store that turns this host away,
         would leave it with an old configuration.
         """
-        self.note_behind(member)
+        self.record_behind(member)
         now = self.state.clock.seconds()
         if self.fetching or member.region != self.state.members.own.region:
             return
         if self.fetch_due == 0.0 or now - self.fetch_due > 1.0:
-            self.fetch_due = now + PEER_PAUSE
+            self.fetch_due = now + PEER_READ_PAUSE_SECONDS
             return
         if now < self.fetch_due:
             return
@@ -237,10 +247,10 @@
             if member.region == own.region
             and split_address(member.relay)[0] not in asked
         ]
-        copies += await self.fetch_copies(neighbours[:NEIGHBOURS_ASKED])
+        copies += await self.fetch_copies(neighbours[:MAX_NEIGHBOURS_READ])
         copies.sort(key=lambda pair: pair[1].revisions, reverse=True)
         for address, snapshot in copies:
-            self.take_snapshot(snapshot, address)
+            self.apply_snapshot(snapshot, address)
 
     async def fetch_copies(self, addresses):
         """Return address and `Snapshot` of each host that answers."""
@@ -260,16 +270,16 @@
         finally:
             self.fetching = False
         if snapshot is not NOTHING:
-            self.take_snapshot(snapshot, address)
+            self.apply_snapshot(snapshot, address)
         else:
-            self.unread()
+            self.on_peer_unreadable()
 
     async def fetch_copy(self, address):
         """Return the `Snapshot` of another host, or `NOTHING`.
 
         The hosts that it knows are learned at once.
         """
-        lane = Lane(f"state {address}", address, True, PEER_IDLE)
+        lane = Lane(f"state {address}", address, True, PEER_IDLE_SECONDS)
         try:
             status, data = await fetch(
                 self.state.connections,
@@ -278,7 +288,7 @@
                 b"/state",
                 address.encode(),
                 b"",
-                timeout=PEER_TIMEOUT,
+                timeout=PEER_TIMEOUT_SECONDS,
                 clock=self.state.clock,
             )
             if status != 200:
@@ -291,18 +301,18 @@
             self.state.connections.forget(lane.key)
             return NOTHING
         for row in snapshot.hosts:
-            self.host_wrote(Entry(row.key, row.value, row.revision))
+            self.on_host_written(Entry(row.key, row.value, row.revision))
         return snapshot
 
-    def take_snapshot(self, snapshot, address):
+    def apply_snapshot(self, snapshot, address):
         """Take over what is newer in another host's copy."""
-        origin = Origin(Way.COPY, address)
+        origin = Origin(Channel.COPY, address)
         rows = (snapshot.operator, snapshot.servers)
         for mirror, revision, items_ in zip(
             self.mirrors.values(), snapshot.revisions, rows, strict=True
         ):
-            if revision > mirror.newest:
-                mirror.replace(entries(items_), revision, origin=origin)
+            if revision > mirror.newest_revision:
+                mirror.replace(decode_entries(items_), revision, origin=origin)
 
 
 def row_size(row):
@@ -327,7 +337,7 @@
         yield batch
 
 
-def items(mirror):
+def encode_items(mirror):
     """Return a `StoredItem` for each entry of a `Mirror`."""
     return [
         StoredItem(entry.key, entry.value, entry.revision)
@@ -335,6 +345,6 @@
     ]
 
 
-def entries(rows):
+def decode_entries(rows):
     """Return an `Entry` for each `StoredItem`."""
     return [Entry(row.key, row.value, row.revision) for row in rows]
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -10,16 +10,16 @@
 
 __all__ = ["Rosters"]
 
-TENTHS = 10
-OLDEST_TENTHS = 255
+TENTHS_PER_SECOND = 10
+MAX_AGE_TENTHS = 255
 """Ages are told in tenths of a second, up to this one; a host that was not
 heard for that long counts as gone."""
 
-GONE_FOR = 10.0
+GONE_REPORT_SECONDS = 10.0
 """Seconds for which a host that fell silent is named as gone, in several
 rosters; also the age that its last word is then taken to have."""
 
-MOST_ASKED = 40
+MAX_RECORDS_REQUESTED = 40
 """Hosts that are asked for at once; the answer is a datagram of 6 KB. The
 rest are asked for with the next roster."""
 
@@ -59,34 +59,38 @@
         """
         members = self.members
         rows = [
-            row_of(one, now, gone=not members.is_up(one, now))
+            make_row(one, now, gone=not members.is_up(one, now))
             for one in members.others.values()
-            if one.region == region and told_of(one, now)
+            if one.region == region and is_reportable(one, now)
         ]
         if region == members.own.region:
-            rows.append(RosterRow(members.own.id, 0, state_of(members.own)))
+            rows.append(
+                RosterRow(members.own.id, 0, encode_state(members.own))
+            )
         return Roster(members.own.name, rows)
 
-    def about(self, member, now):
+    def single_host_roster(self, member, now):
         """Return a `Roster` of one host."""
-        return Roster(self.members.own.name, [row_of(member, now)])
+        return Roster(self.members.own.name, [make_row(member, now)])
 
-    def take(self, message):
+    def handle_roster(self, message):
         """Take over a roster, and ask for the hosts that are not known."""
         now = self.clock.seconds()
         unknown = []
         for row in message.rows:
             member = self.members.by_id.get(row.id)
             if member is not None:
-                take_row(member, row, now)
+                apply_row(member, row, now)
             elif row.id != self.members.own.id:
                 unknown.append(row.id)
         sender = self.members.others.get(message.host)
         if unknown and sender is not None:
-            ask = RecordsAsk(self.members.own.name, unknown[:MOST_ASKED])
+            ask = RecordsAsk(
+                self.members.own.name, unknown[:MAX_RECORDS_REQUESTED]
+            )
             self.datagrams.send(ask, sender.control)
 
-    def tell_records(self, message):
+    def handle_records_request(self, message):
         """Answer who hosts are."""
         asker = self.members.others.get(message.host)
         if asker is None:
@@ -95,38 +99,38 @@
         known[self.members.own.id] = self.members.own
         entries = [
             host_entry(known[one])
-            for one in message.ids[:MOST_ASKED]
+            for one in message.ids[:MAX_RECORDS_REQUESTED]
             if one in known
         ]
         self.datagrams.send(Records(entries), asker.control)
 
-    def take_records(self, message):
+    def handle_records(self, message):
         """Learn who hosts are."""
         now = self.clock.seconds()
         for entry in message.hosts:
             self.members.learn(member_of(entry), spoke_at=now)
 
 
-def told_of(member, now):
+def is_reportable(member, now):
     """Whether a host was heard of lately enough to tell of it."""
     last = member.last_word_at
-    return last is not NOTHING and now - last < GONE_FOR
+    return last is not NOTHING and now - last < GONE_REPORT_SECONDS
 
 
-def row_of(member, now, *, gone=False):
+def make_row(member, now, *, gone=False):
     """Return the `RosterRow` of a host that was heard or told of."""
-    state = state_of(member) | (HostState.GONE if gone else 0)
+    state = encode_state(member) | (HostState.GONE if gone else 0)
     return RosterRow(member.id, age_tenths(member, now), int(state))
 
 
-def take_row(member, row, now):
+def apply_row(member, row, now):
     """Take over what a roster says of a host.
 
     What the host itself has said of late is newer.
     """
-    heard = now - row.age_tenths / TENTHS
+    heard = now - row.age_tenths / TENTHS_PER_SECOND
     if HostState.GONE in HostState(row.state):
-        forget_word(member, heard)
+        mark_gone(member, heard)
         return
     if member.told_at is NOTHING or heard > member.told_at:
         member.told_at = heard
@@ -141,13 +145,13 @@
     member.version = max(1, member.version) if configured else 0
 
 
-def forget_word(member, heard):
+def mark_gone(member, heard):
     """Take a host for gone of which nothing was heard since *heard*."""
     if member.told_at is not NOTHING:
-        member.told_at = min(member.told_at, heard - GONE_FOR)
+        member.told_at = min(member.told_at, heard - GONE_REPORT_SECONDS)
 
 
-def state_of(member):
+def encode_state(member):
     """Return the `HostState` of a host."""
     states = (
         (HostState.LEAVING, member.leaving),
@@ -168,5 +172,5 @@
     Rounded down, the word of a host that is gone would grow younger with
     each host that passes it on.
     """
-    age = math.ceil((now - member.last_word_at) * TENTHS)
-    return min(OLDEST_TENTHS, max(0, age))
+    age = math.ceil((now - member.last_word_at) * TENTHS_PER_SECOND)
+    return min(MAX_AGE_TENTHS, max(0, age))
--- a/src/hyssopspring/entry/settings.py
+++ b/src/hyssopspring/entry/settings.py
@@ -66,8 +66,8 @@
     limit_overage: float = 0.0
     limit_slack: float = 0.0
     limit_window: float = 0.0
-    least_lease: float = 1.0
-    off: frozenset = frozenset()
+    min_lease_seconds: float = 1.0
+    disabled_mechanisms: frozenset = frozenset()
 
 
 def check_settings(settings):
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -21,8 +21,8 @@
         members: `Members`.
         asking: `Asking`.
         connections: `Connections`.
-        far_hosts: `FarHosts` of other regions.
-        contact: `Contact` with the store.
+        remote_hosts: `RemoteHosts` of other regions.
+        contact: `StoreContact` with the store.
         view: `ConfirmedView` of the configuration.
         provenance: `Provenance` of the configuration in force.
         retries: `RetryWindow`.
@@ -42,7 +42,7 @@
     members: object
     asking: object
     connections: object
-    far_hosts: object
+    remote_hosts: object
     contact: object
     view: object
     provenance: object
--- a/src/hyssopspring/entry/following.py
+++ b/src/hyssopspring/entry/storesync.py
@@ -7,7 +7,6 @@
 from ..core.sentinels import NOTHING
 from ..stores.keyvalues import Applied
 from ..traffic.members import LEARNING, SETTLED
-from .copies import Copies
 from .crashstore import CRASHES_PREFIX
 from .hostentries import (
     MEMBERS_PREFIX,
@@ -15,17 +14,18 @@
     decode_host,
     encode_host,
 )
-from .mirrors import Follower, HistoryLostError, Mirror
+from .mirrors import HistoryLostError, Mirror, PrefixWatcher
+from .replication import Replication
 
-__all__ = ["Following"]
+__all__ = ["StoreSync"]
 
 LEASE_SECONDS = 9.0
 """Seconds after which the store forgets a host that is gone."""
 
-RENEW_EVERY = 2.5
+RENEW_INTERVAL_SECONDS = 2.5
 """Seconds between renewals of a host's entry in the store."""
 
-PROBE_EVERY = 0.9
+PROBE_INTERVAL_SECONDS = 0.9
 """Seconds between two probes of the watches of the first host of a region,
 each watch in turn. A connection can pass nothing and stay open, and a watch
 without an answer looks like a store without changes."""
@@ -35,20 +35,20 @@
 call is paid for, so calls must not grow with hosts times servers; the
 second bridges the loss of the first."""
 
-REST_AFTER = 1.5
+STOP_WATCHING_SECONDS = 1.5
 """Seconds for which a host must rank behind the watching ones before it
 ends its own watches; ranks change for moments when hosts start."""
 
-BEHIND_FOR = 0.5
+BEHIND_SECONDS = 0.5
 """Seconds for which another host may have a newer configuration before the
 watch here is begun anew; a change reaches all regions within 0.4 s."""
 
-FAILING_AGE = 10.0
+FAILING_CONTACT_AGE_SECONDS = 10.0
 """Age of contact, in seconds, that a host tells while its calls fail, so
 that others rank before it at once."""
 
 
-class Following:
+class StoreSync:
     """Follow the store, and other hosts while it cannot be read.
 
     Args:
@@ -58,10 +58,10 @@
             ``OPERATOR_PREFIX``, ``SERVERS_PREFIX``, ``CONFIGURATION_KEY``,
             ``decode_configuration``, ``evacuated_data_centre``,
             ``decode_server`` and ``server_id``.
-        applied: Called when the configuration has changed.
-        found_hosts: Called when the hosts in the store were read.
-        spread: Called with a `StoreChange` for the hosts of the region.
-        found_crash: Called with the `Entry` of a request under which
+        on_applied: Called when the configuration has changed.
+        on_hosts_read: Called when the hosts in the store were read.
+        broadcast: Called with a `StoreChange` for the hosts of the region.
+        on_crash_found: Called with the `Entry` of a request under which
             servers ended.
     """
 
@@ -70,64 +70,68 @@
         state,
         store,
         layout,
-        applied,
-        found_hosts,
-        spread,
-        found_crash,
+        on_applied,
+        on_hosts_read,
+        broadcast,
+        on_crash_found,
     ):
         self.state = state
         self.store = store
         self.layout = layout
-        self.applied = applied
-        self.found_hosts = found_hosts
-        self.found_crash = found_crash
+        self.on_applied = on_applied
+        self.on_hosts_read = on_hosts_read
+        self.on_crash_found = on_crash_found
         self.evacuated = set()
         self.lease = NOTHING
         self.renewed_at = NOTHING
         self.renewing = False
         self.reading = False
         self.probing = False
-        self.probed_at = 0.0
-        self.operator = Mirror(self.operator_wrote, self.operator_removed)
-        self.servers = Mirror(self.server_wrote, self.server_removed)
-        self.hosts = Mirror(self.host_wrote, self.host_removed)
+        self.last_probe_at = 0.0
+        self.operator = Mirror(
+            self.on_operator_written, self.on_operator_removed
+        )
+        self.servers = Mirror(self.on_server_written, self.on_server_removed)
+        self.hosts = Mirror(self.on_host_written, self.on_host_removed)
         self.mirrors = {
             layout.OPERATOR_PREFIX: self.operator,
             layout.SERVERS_PREFIX: self.servers,
         }
-        self.copies = Copies(
+        self.replication = Replication(
             state,
             self.mirrors,
-            self.host_wrote,
-            spread,
+            self.on_host_written,
+            broadcast,
             self.spawn,
             self.read_store,
         )
-        self.followers = []
-        self.needed_at = 0.0
+        self.watchers = []
+        self.last_required_at = 0.0
 
     @property
     def watch_age(self):
         """Seconds since the oldest watch had an answer; 0 without one."""
         now = self.state.clock.seconds()
-        heard = [one.heard_at for one in self.followers if one.heard_at]
+        heard = [
+            one.last_reply_at for one in self.watchers if one.last_reply_at
+        ]
         return round(now - min(heard, default=now), 1)
 
-    def follower(self, prefix, mirror):
-        """Return the `Follower` of one prefix."""
-        return Follower(
+    def make_watcher(self, prefix, mirror):
+        """Return the `PrefixWatcher` of one prefix."""
+        return PrefixWatcher(
             self.store,
             prefix,
             mirror,
             self.state.contact,
             self.state.clock,
             self.state.rng,
-            self.pass_on,
-            self.asking,
+            self.broadcast_changes,
+            self.before_listing,
             lambda: self.state.members.own.up_seconds < LEARNING,
         )
 
-    def asking(self, prefix):
+    def before_listing(self, prefix):
         """Return what is to be called when a listing has been taken over.
 
         A listing of what operators wrote confirms the view as of now, when
@@ -141,43 +145,43 @@
 
     def read_configuration(self):
         """Read what operators wrote, beside the watch."""
-        self.read_beside([self.layout.OPERATOR_PREFIX])
+        self.read_prefixes([self.layout.OPERATOR_PREFIX])
 
     def read_store(self):
         """Read all beside the watches, as neighbours cannot be read."""
-        self.read_beside(list(self.mirrors))
+        self.read_prefixes(list(self.mirrors))
 
-    def read_beside(self, prefixes):
+    def read_prefixes(self, prefixes):
         """Read what stands below some prefixes, once at a time."""
         if not self.reading:
             self.reading = True
-            self.spawn(self.list_beside(prefixes))
+            self.spawn(self.list_prefixes(prefixes))
 
-    async def list_beside(self, prefixes):
+    async def list_prefixes(self, prefixes):
         """List each of some prefixes; the first failure ends it."""
         try:
             for prefix in prefixes:
-                listed = self.asking(prefix)
+                listed = self.before_listing(prefix)
                 listing = await self.store.list(prefix)
-                self.state.contact.heard()
-                self.take_beside(prefix, listing)
+                self.state.contact.record_reply()
+                self.apply_extra_listing(prefix, listing)
                 listed()
         except KeyValueError as problem:
-            self.state.contact.failed(problem)
+            self.state.contact.record_failure(problem)
         finally:
             self.reading = False
 
-    def take_beside(self, prefix, listing):
+    def apply_extra_listing(self, prefix, listing):
         """Take over a listing that was read beside the watch."""
         mirror = self.mirrors[prefix]
         changes = mirror.difference(listing)
         if changes.entries or changes.removals:
-            self.pass_on(prefix, changes, False)
+            self.broadcast_changes(prefix, changes, False)
         mirror.refresh(listing)
-        for follower in self.followers:
-            follower.note_listing(prefix)
+        for watcher in self.watchers:
+            watcher.record_listing(prefix)
 
-    def pass_on(self, prefix, changes, outage):
+    def broadcast_changes(self, prefix, changes, outage):
         """Tell the hosts of the region what a watch has brought.
 
         Right after its start each host watches for itself. If all told
@@ -188,38 +192,41 @@
         own = self.state.members.own
         ranked = self.state.members.placers(now)[:WATCHING_HOSTS]
         if own in ranked and own.up_seconds >= SETTLED:
-            self.copies.pass_on(prefix, changes, outage)
+            self.replication.broadcast_changes(prefix, changes, outage)
 
     def start(self):
         """Begin to follow."""
-        self.needed_at = self.state.clock.seconds()
+        self.last_required_at = self.state.clock.seconds()
         self.start_watching()
-        self.spawn(self.copies.start())
+        self.spawn(self.replication.start())
 
     def start_watching(self):
         """Read all of the store, and watch it."""
         self.state.timeline.note(EventKind.WATCHING)
-        self.followers = [
-            self.follower(prefix, mirror)
+        self.watchers = [
+            self.make_watcher(prefix, mirror)
             for prefix, mirror in self.mirrors.items()
         ]
-        for follower in self.followers:
-            follower.start().addErrback(self.crashed)
+        for watcher in self.watchers:
+            watcher.start().addErrback(self.log_failure)
 
     def stop(self):
         """End following."""
-        for follower in self.followers:
-            follower.stop()
-        self.followers = []
+        for watcher in self.watchers:
+            watcher.stop()
+        self.watchers = []
 
     def choose_watching(self, now):
         """Watch the store if this host is one of those that must."""
         ranked = self.state.members.placers(now)[:WATCHING_HOSTS]
         if self.state.members.own in ranked:
-            self.needed_at = now
-            if not self.followers:
+            self.last_required_at = now
+            if not self.watchers:
                 self.start_watching()
-        elif self.followers and now - self.needed_at > REST_AFTER:
+        elif (
+            self.watchers
+            and now - self.last_required_at > STOP_WATCHING_SECONDS
+        ):
             self.stop()
             self.state.timeline.note(
                 EventKind.RESTING, watched_by=[one.name for one in ranked]
@@ -232,54 +239,58 @@
         they may lack. The second hears of a change from the first, and
         sees by it whether its own watch lives.
         """
-        for follower in self.followers:
-            follower.check()
-            self.compare_watch(follower)
-        if self.probing or now - self.probed_at < PROBE_EVERY:
+        for watcher in self.watchers:
+            watcher.check()
+            self.restart_lagging_watch(watcher)
+        if self.probing or now - self.last_probe_at < PROBE_INTERVAL_SECONDS:
             return
         if self.state.members.placers(now)[0] is not self.state.members.own:
             return
-        waiting = [one for one in self.followers if one.waiting]
+        waiting = [one for one in self.watchers if one.pending_watch]
         if not waiting:
             return
-        longest = min(waiting, key=lambda one: one.heard_at)
-        if now - longest.heard_at >= PROBE_EVERY:
+        longest = min(waiting, key=lambda one: one.last_reply_at)
+        if now - longest.last_reply_at >= PROBE_INTERVAL_SECONDS:
             self.probing = True
-            self.probed_at = now
+            self.last_probe_at = now
             self.spawn(self.probe(longest))
 
-    def compare_watch(self, follower):
+    def restart_lagging_watch(self, watcher):
         """Begin a watch anew that does not bring what another host has."""
-        if follower.prefix != self.layout.OPERATOR_PREFIX:
+        if watcher.prefix != self.layout.OPERATOR_PREFIX:
             return
-        if not follower.waiting:
+        if not watcher.pending_watch:
             return
-        if self.copies.is_behind(follower.waiting_since, BEHIND_FOR):
-            follower.renew("another host has more")
+        if self.replication.is_behind(
+            watcher.watch_started_at, BEHIND_SECONDS
+        ):
+            watcher.restart("another host has more")
 
-    async def probe(self, follower):
+    async def probe(self, watcher):
         """Ask a replica of the store for what a watch may lack."""
         try:
-            changes = await self.store.probe(follower.prefix, follower.after)
-            follower.take_probe(changes)
+            changes = await self.store.probe(
+                watcher.prefix, watcher.after_revision
+            )
+            watcher.apply_probe(changes)
         except HistoryLostError:
-            follower.renew("history lost")
+            watcher.restart("history lost")
         except KeyValueError as problem:
-            self.state.contact.failed(problem)
+            self.state.contact.record_failure(problem)
         finally:
             self.probing = False
 
-    def store_silent(self, sent_at):
+    def restart_older_watches(self, sent_at):
         """Begin watches anew that are older than a call without answer."""
-        for follower in self.followers:
-            if follower.waiting and follower.waiting_since <= sent_at:
-                follower.renew("no answer to a later call")
+        for watcher in self.watchers:
+            if watcher.pending_watch and watcher.watch_started_at <= sent_at:
+                watcher.restart("no answer to a later call")
 
     def spawn(self, coroutine):
         """Run a coroutine whose unexpected failure is logged."""
-        defer.ensureDeferred(coroutine).addErrback(self.crashed)
+        defer.ensureDeferred(coroutine).addErrback(self.log_failure)
 
-    def crashed(self, failure):
+    def log_failure(self, failure):
         """Write an unexpected failure to the log."""
         if failure.check(defer.CancelledError):
             return
@@ -287,24 +298,24 @@
             EventKind.UNEXPECTED, error=failure.getTraceback()
         )
 
-    def operator_wrote(self, entry):
+    def on_operator_written(self, entry):
         """Take over what an operator has written."""
         if entry.key == self.layout.CONFIGURATION_KEY:
-            self.take_configuration(entry)
+            self.apply_configuration(entry)
             return
         place = self.layout.evacuated_data_centre(entry.key)
         if place is not NOTHING:
             self.evacuated.add(place)
-            self.evacuate()
+            self.apply_evacuation()
 
-    def operator_removed(self, key, outage):
+    def on_operator_removed(self, key, outage):
         """Take account of what an operator has removed."""
         place = self.layout.evacuated_data_centre(key)
         if place is not NOTHING:
             self.evacuated.discard(place)
-            self.evacuate()
+            self.apply_evacuation()
 
-    def evacuate(self):
+    def apply_evacuation(self):
         """Put the evacuated data centres in force."""
         self.state.timeline.note(
             EventKind.EVACUATED, data_centres=sorted(self.evacuated)
@@ -320,7 +331,7 @@
             return 0.0
         return current.service(service).cold_seconds
 
-    def take_configuration(self, entry):
+    def apply_configuration(self, entry):
         """Put a configuration in force if it is newer."""
         try:
             configuration = self.layout.decode_configuration(entry.value)
@@ -334,17 +345,17 @@
             return
         self.state.members.own.version = configuration.version
         provenance = self.state.provenance
-        provenance.note_applied(self.operator.origin, entry.revision)
+        provenance.record_applied(self.operator.origin, entry.revision)
         self.state.timeline.note(
             EventKind.CONFIG_APPLIED,
             routes=len(configuration.routes),
             contact_age=round(min(self.state.contact.age, 1e6), 1),
-            watching=bool(self.followers),
+            watching=bool(self.watchers),
             **provenance.details(),
         )
-        self.applied()
+        self.on_applied()
 
-    def server_wrote(self, entry):
+    def on_server_written(self, entry):
         """Take over the entry of a server."""
         try:
             server = self.layout.decode_server(entry.key, entry.value)
@@ -359,11 +370,11 @@
             self.state.asking.placer.forget_server(server.id, now)
             self.state.connections.forget(server.id)
         if fresh:
-            self.note_server(EventKind.SERVER_ADDED, server)
+            self.record_server(EventKind.SERVER_ADDED, server)
         if server.leaving and not was_leaving:
-            self.note_server(EventKind.SERVER_LEAVING, server)
+            self.record_server(EventKind.SERVER_LEAVING, server)
         if server.cold_left > 0:
-            self.note_server(EventKind.SERVER_COLD, server)
+            self.record_server(EventKind.SERVER_COLD, server)
 
     def drop_unreadable(self, key, problem):
         """Use no server whose entry cannot be read.
@@ -379,7 +390,7 @@
         self.state.registry.remove(server_id, now, outage=False)
         self.state.connections.forget(server_id)
 
-    def note_server(self, kind, server):
+    def record_server(self, kind, server):
         """Put a change of a server on the time line."""
         self.state.timeline.note(
             kind,
@@ -389,7 +400,7 @@
             cold_left=server.cold_left,
         )
 
-    def server_removed(self, key, outage):
+    def on_server_removed(self, key, outage):
         """Take account of an entry that is gone."""
         server_id = self.layout.server_id(key)
         self.state.registry.remove(
@@ -401,7 +412,7 @@
         if server_id not in self.state.registry.servers:
             self.state.connections.forget(server_id)
 
-    def host_wrote(self, entry):
+    def on_host_written(self, entry):
         """Take over the entry of a host."""
         try:
             member = decode_host(entry.value)
@@ -410,17 +421,17 @@
             return
         self.state.members.learn(member)
 
-    def host_removed(self, key, outage):
+    def on_host_removed(self, key, outage):
         """Do nothing: heartbeats tell which hosts live."""
 
-    async def read_own(self):
+    async def read_own_prefix(self):
         """Read what hosts have written to the store, in one call."""
         try:
             listing = await self.store.list(OWN_PREFIX)
         except KeyValueError as problem:
-            self.state.contact.failed(problem)
+            self.state.contact.record_failure(problem)
             return
-        self.state.contact.heard()
+        self.state.contact.record_reply()
         hosts = [
             entry
             for entry in listing.entries
@@ -429,13 +440,13 @@
         self.hosts.replace(hosts, listing.revision)
         for entry in listing.entries:
             if entry.key.startswith(CRASHES_PREFIX):
-                self.crash_wrote(entry)
-        self.found_hosts()
+                self.on_crash_written(entry)
+        self.on_hosts_read()
 
-    def crash_wrote(self, entry):
+    def on_crash_written(self, entry):
         """Take over a request under which servers ended."""
         try:
-            self.found_crash(entry)
+            self.on_crash_found(entry)
         except ProtocolError as problem:
             self.state.timeline.note(EventKind.CRASH_UNREADABLE, why=problem)
 
@@ -445,33 +456,34 @@
         own = self.state.members.own
         own.contact_age = self.state.contact.age
         if self.state.contact.failing_since is not NOTHING:
-            own.contact_age = max(own.contact_age, FAILING_AGE)
-        own.revisions = self.copies.revisions
+            own.contact_age = max(own.contact_age, FAILING_CONTACT_AGE_SECONDS)
+        own.revisions = self.replication.revisions
         self.choose_watching(now)
         self.check_watches(now)
         for server_id in self.state.registry.expire(now):
             self.state.timeline.note(EventKind.SERVER_GONE, server=server_id)
             self.state.connections.forget(server_id)
-        if self.must_renew(now):
+        if self.renewal_due(now):
             self.renewing = True
             self.renewed_at = now
             self.spawn(self.renew())
 
-    def must_renew(self, now):
+    def renewal_due(self, now):
         """Whether it is time to renew this host's entry in the store."""
         if self.renewing:
             return False
         return (
-            self.renewed_at is NOTHING or now - self.renewed_at >= RENEW_EVERY
+            self.renewed_at is NOTHING
+            or now - self.renewed_at >= RENEW_INTERVAL_SECONDS
         )
 
     async def renew(self):
         """Keep this host's entry in the store."""
         try:
             await self.renew_lease()
-            self.state.contact.heard()
+            self.state.contact.record_reply()
         except KeyValueError as problem:
-            self.state.contact.failed(problem)
+            self.state.contact.record_failure(problem)
         finally:
             self.renewing = False
 
@@ -483,14 +495,14 @@
             self.lease = NOTHING
         if self.state.members.own.leaving:
             return
-        seconds = max(LEASE_SECONDS, self.state.settings.least_lease)
+        seconds = max(LEASE_SECONDS, self.state.settings.min_lease_seconds)
         lease = await self.store.grant_lease(seconds)
         own = self.state.members.own
         key = MEMBERS_PREFIX + own.name
         result = await self.store.put(key, encode_host(own), lease)
         if isinstance(result, Applied):
             self.lease = lease
-            await self.read_own()
+            await self.read_own_prefix()
 
     async def leave(self):
         """Remove this host's entry from the store."""
@@ -500,4 +512,4 @@
         try:
             await self.store.end_lease(lease)
         except KeyValueError as problem:
-            self.state.contact.failed(problem)
+            self.state.contact.record_failure(problem)
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -13,47 +13,47 @@
 from ..traffic.members import LEARNING
 from .messages import ViewAnswer, ViewAsk
 
-__all__ = ["ConfirmedView", "ViewChecking"]
+__all__ = ["ConfirmedView", "ViewVerifier"]
 
 APPLY_SECONDS = 4.0
 """Seconds in which a change must be in force, if settings name none."""
 
-DENIAL_MARGIN = 1.0
-LEAST_DENIAL = 0.5
+DENIAL_MARGIN_SECONDS = 1.0
+MIN_DENIAL_AGE_SECONDS = 0.5
 """Seconds by which a view must be younger than that to deny a route or a
 key, as an answer takes its time; and its least age to do so."""
 
-MARGIN = 0.2
+CLOCK_MARGIN_SECONDS = 0.2
 """Seconds before the bound at which keys are not believed any more, for
 clocks that do not run quite alike."""
 
-READ_EVERY = 0.9
+FIRST_READ_AGE_SECONDS = 0.9
 """Age of the view, in seconds, at which the first host of a region reads
 the configuration anew."""
 
-ASK_SECOND_AFTER = 1.3
+ASK_SECOND_AGE_SECONDS = 1.3
 """Age of the view, in seconds, from which the second host is asked too."""
 
-READ_AFTER = 2.2
+FALLBACK_READ_AGE_SECONDS = 2.2
 """Age of the view, in seconds, from which a host that gets no answer of
 others reads the configuration itself. It is soon enough to serve on without
 a break if the first host is gone, and no call is made for a lost answer."""
 
-VERIFY_EVERY = 0.2
+VERIFY_INTERVAL_SECONDS = 0.2
 """Seconds between two rounds of questions for a caller that waits."""
 
-VERIFY_TOGETHER = 1.0
+VERIFY_BURST_SECONDS = 1.0
 """Seconds between rounds after which a new doubt begins."""
 
-READING_TURN = 0.4
+REGION_READ_DELAY_SECONDS = 0.4
 """Seconds by which the first host of a region waits longer to read the
 store than that of the region before it: a doubt often rises everywhere at
 once, and one reading serves all."""
 
-LONGEST_TURN = 0.7
+MAX_READ_DELAY_SECONDS = 0.7
 """Longest such wait, and that of hosts that are not first, in seconds."""
 
-HURRY_EVERY = 0.1
+REFRESH_INTERVAL_SECONDS = 0.1
 """Seconds between two rounds of questions of a host that refuses."""
 
 
@@ -70,8 +70,14 @@
 
     def __init__(self, clock, bound, apply=APPLY_SECONDS):
         self.clock = clock
-        self.denial_life = max(LEAST_DENIAL, apply - DENIAL_MARGIN)
-        self.life = NOTHING if bound is NOTHING else max(0.0, bound - MARGIN)
+        self.denial_max_age = max(
+            MIN_DENIAL_AGE_SECONDS, apply - DENIAL_MARGIN_SECONDS
+        )
+        self.max_age = (
+            NOTHING
+            if bound is NOTHING
+            else max(0.0, bound - CLOCK_MARGIN_SECONDS)
+        )
         self.confirmed_at = NOTHING
 
     def confirm(self, at):
@@ -93,19 +99,19 @@
     @property
     def is_fresh(self):
         """Whether keys may be believed."""
-        return self.life is NOTHING or self.age < self.life
+        return self.max_age is NOTHING or self.age < self.max_age
 
     @property
-    def denies(self):
+    def can_deny(self):
         """Whether what the configuration lacks may be taken not to exist.
 
         What was added a moment ago need not be in force yet; what was
         added before must not be denied.
         """
-        return self.age < self.denial_life
+        return self.age < self.denial_max_age
 
 
-class ViewChecking:
+class ViewVerifier:
     """Keep the view of this host confirmed, at few calls to the store.
 
     The first host of a region reads the configuration each second. All
@@ -123,7 +129,7 @@
         clock: The runtime's clock.
         timeline: The `Timeline`.
         read: Called to read the configuration from the store.
-        far_hosts: Called for the hosts of other regions to ask.
+        remote_hosts: Called for the hosts of other regions to ask.
     """
 
     def __init__(
@@ -135,7 +141,7 @@
         clock,
         timeline,
         read,
-        far_hosts,
+        remote_hosts,
     ):
         self.view = view
         self.keeper = keeper
@@ -144,51 +150,53 @@
         self.clock = clock
         self.timeline = timeline
         self.read = read
-        self.far_hosts = far_hosts
-        self.hurried_at = -math.inf
-        self.doubt_since = -math.inf
+        self.remote_hosts = remote_hosts
+        self.refreshed_at = -math.inf
+        self.verifying_since = -math.inf
         self.verified_at = -math.inf
-        self.lost = False
+        self.expired = False
 
     @property
-    def needed(self):
+    def is_required(self):
         """Whether any request depends on the view."""
         current = self.keeper.current
-        if current is NOTHING or self.view.life is NOTHING:
+        if current is NOTHING or self.view.max_age is NOTHING:
             return False
         return bool(current.workspaces)
 
     def tick(self):
         """Have the view confirmed if it is time."""
-        if not self.needed:
+        if not self.is_required:
             return
-        self.note_state()
+        self.record_state()
         own = self.members.own
         ranked = self.members.placers(self.clock.seconds())
         heard = len(ranked) > 1 or own.up_seconds >= LEARNING
         first = ranked[0] is own and heard
         age = self.view.age
-        if age > (READ_EVERY if first else READ_AFTER):
+        if age > (
+            FIRST_READ_AGE_SECONDS if first else FALLBACK_READ_AGE_SECONDS
+        ):
             self.read()
-        self.ask(ranked[0])
-        if age > ASK_SECOND_AFTER:
-            for member in ranked[1:2] + self.far_hosts():
-                self.ask(member)
+        self.request_confirmation(ranked[0])
+        if age > ASK_SECOND_AGE_SECONDS:
+            for member in ranked[1:2] + self.remote_hosts():
+                self.request_confirmation(member)
 
-    def hurry(self):
+    def refresh(self):
         """Have the view confirmed at once: a caller was just refused."""
         now = self.clock.seconds()
-        if now - self.hurried_at >= HURRY_EVERY:
-            self.hurried_at = now
+        if now - self.refreshed_at >= REFRESH_INTERVAL_SECONDS:
+            self.refreshed_at = now
             self.tick()
 
     @property
-    def doubted_for(self):
+    def verifying_seconds(self):
         """Seconds for which callers have been in doubt; 0 if none is."""
         now = self.clock.seconds()
-        if now - self.verified_at > VERIFY_TOGETHER:
+        if now - self.verified_at > VERIFY_BURST_SECONDS:
             return 0.0
-        return now - self.doubt_since
+        return now - self.verifying_since
 
     def verify(self):
         """Have the view confirmed for a caller that waits; call often.
@@ -196,40 +204,42 @@
         Others may have a view that is young enough, and are asked first.
         """
         now = self.clock.seconds()
-        if now - self.verified_at < VERIFY_EVERY:
+        if now - self.verified_at < VERIFY_INTERVAL_SECONDS:
             return
-        if now - self.verified_at > VERIFY_TOGETHER:
-            self.doubt_since = now
+        if now - self.verified_at > VERIFY_BURST_SECONDS:
+            self.verifying_since = now
         self.verified_at = now
         ranked = self.members.placers(now)
         others = [one for one in ranked[:2] if one is not self.members.own]
-        others += self.far_hosts()
+        others += self.remote_hosts()
         for member in others:
-            self.ask(member)
-        if not others or now - self.doubt_since >= self.turn(ranked, now):
+            self.request_confirmation(member)
+        if not others or now - self.verifying_since >= self.read_delay(
+            ranked, now
+        ):
             self.read()
 
-    def turn(self, ranked, now):
+    def read_delay(self, ranked, now):
         """Return the seconds of doubt after which this host reads."""
         if ranked[0] is not self.members.own:
-            return LONGEST_TURN
+            return MAX_READ_DELAY_SECONDS
         own = self.members.own.region
         place = sum(one < own for one in self.members.regions(now))
-        return min(LONGEST_TURN, place * READING_TURN)
+        return min(MAX_READ_DELAY_SECONDS, place * REGION_READ_DELAY_SECONDS)
 
-    def note_state(self):
+    def record_state(self):
         """Put it on the time line when keys are refused, or not any more."""
-        lost = not self.view.is_fresh
-        if lost == self.lost:
+        expired = not self.view.is_fresh
+        if expired == self.expired:
             return
-        self.lost = lost
+        self.expired = expired
         self.timeline.note(
-            EventKind.VIEW_LOST if lost else EventKind.VIEW_BACK,
+            EventKind.VIEW_LOST if expired else EventKind.VIEW_BACK,
             version=self.keeper.version,
             age=round(min(self.view.age, 1e6), 1),
         )
 
-    def ask(self, member):
+    def request_confirmation(self, member):
         """Ask another host how sure it is of its configuration."""
         if member is self.members.own:
             return
@@ -237,7 +247,7 @@
         question = ViewAsk(self.members.own.name, stamp)
         self.datagrams.send(question, member.control)
 
-    def take_question(self, message):
+    def handle_request(self, message):
         """Tell another host how sure this one is."""
         member = self.members.others.get(message.host)
         if member is None or not self.view.is_fresh:
@@ -248,10 +258,10 @@
         answer = ViewAnswer(message.stamp, age, self.keeper.version)
         self.datagrams.send(answer, member.control)
         first = self.members.placers(self.clock.seconds())[0]
-        if first is self.members.own and not self.view.denies:
+        if first is self.members.own and not self.view.can_deny:
             self.verify()
 
-    def take_answer(self, message):
+    def handle_response(self, message):
         """Take over how sure another host is of the same configuration.
 
         One that has a newer one confirms nothing here: that one is read
@@ -259,6 +269,6 @@
         """
         if self.keeper.version >= message.version:
             self.view.confirm((message.stamp - message.age_ms) / 1000)
-            self.note_state()
-        elif self.clock.seconds() - self.verified_at < VERIFY_TOGETHER:
+            self.record_state()
+        elif self.clock.seconds() - self.verified_at < VERIFY_BURST_SECONDS:
             self.read()
--- a/src/hyssopspring/platform/settings.py
+++ b/src/hyssopspring/platform/settings.py
@@ -82,7 +82,7 @@
         limit_overage=number(values, "bounds.quota_overage", 0.0),
         limit_slack=number(values, "bounds.quota_slack", 0.0),
         limit_window=number(values, "bounds.quota_window_s", 0.0),
-        least_lease=number(values, "platform.ttl_min_ms", 1000.0) / 1000,
+        min_lease_seconds=number(values, "platform.ttl_min_ms", 1000.0) / 1000,
     )
 
 
--- a/tests/entry_hosts.py
+++ b/tests/entry_hosts.py
@@ -187,11 +187,11 @@
         north = [p for n, p in self.processes.items() if "north" in n]
         await self.until(
             lambda: (
-                sorted(bool(p.following.followers) for p in north)
+                sorted(bool(p.store_sync.watchers) for p in north)
                 == [False, True, True]
             )
         )
-        resting = next(p for p in north if not p.following.followers)
+        resting = next(p for p in north if not p.store_sync.watchers)
         return north, resting
 
     async def until(self, condition, *, within=LONGEST_WAIT):
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -21,9 +21,12 @@
     Limiting,
     Standing,
 )
-from hyssopspring.entry.membership import HEARTBEAT_EVERY, Membership
+from hyssopspring.entry.membership import (
+    HEARTBEAT_INTERVAL_SECONDS,
+    Membership,
+)
 from hyssopspring.entry.notices import Notices
-from hyssopspring.entry.views import ConfirmedView, ViewChecking
+from hyssopspring.entry.views import ConfirmedView, ViewVerifier
 from hyssopspring.traffic.crashes import Crashes
 from hyssopspring.traffic.decisions import Ask, Placed
 from hyssopspring.traffic.members import Member, Members
@@ -135,13 +138,13 @@
             self.datagrams,
             network.clock,
             self.quiet,
-            lambda: self.membership.far_hosts_to_tell(),
+            lambda: self.membership.remote_hosts_to_notify(),
             self.saved.append,
         )
         self.keeper = ConfigurationKeeper()
         self.take_version(network.version)
         self.view = ConfirmedView(network.clock.seconds, REVOCATION)
-        self.views = ViewChecking(
+        self.views = ViewVerifier(
             self.view,
             self.keeper,
             self.members,
@@ -149,7 +152,7 @@
             network.clock,
             self.quiet,
             lambda: network.read_store(self),
-            lambda: self.membership.far_contacts,
+            lambda: self.membership.remote_contacts,
         )
         standing = Standing(self.members, network.clock)
         self.limiting = Limiting(
@@ -161,7 +164,7 @@
             network.clock,
             network.rng,
             standing,
-            lambda: self.membership.far_contacts,
+            lambda: self.membership.remote_contacts,
         )
         self.quiet.limiting = self.limiting
         self.registry = Registry({f"{region}-a": region})
@@ -175,7 +178,7 @@
             self.quiet,
             network.clock,
             self.quiet,
-            lambda message: self.membership.spread(message),
+            lambda message: self.membership.broadcast_in_region(message),
         )
         self.membership = Membership(
             self.members,
@@ -224,7 +227,7 @@
             self.sharing.tick()
             self.notices.tick()
             self.views.tick()
-            self.membership.beat()
+            self.membership.send_heartbeats()
 
     def balance(self):
         """Ask for tokens."""
@@ -269,7 +272,7 @@
         self.hosts[name] = host
         self.by_ip[split_address(host.members.own.control)[0]] = host
         for work, interval in (
-            (host.beat, HEARTBEAT_EVERY),
+            (host.beat, HEARTBEAT_INTERVAL_SECONDS),
             (host.balance, TRANSFERS_EVERY),
         ):
             loop = task.LoopingCall(work)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -85,7 +85,7 @@
     assert_that(settings.ports, Equals((7660, 7675)))
     assert_that(settings.capacity, Equals(1.0))
     assert_that(settings.retry_extra, Equals(54.0))
-    assert_that(settings.least_lease, Equals(1.0))
+    assert_that(settings.min_lease_seconds, Equals(1.0))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_denials.py
+++ b/tests/test_denials.py
@@ -130,7 +130,7 @@
     """Guards against a call to the store for each request that is denied."""
     await pause(2.0)
     processes = proxied_hosts.processes.values()
-    calls = sum(one.following.store.calls for one in processes)
+    calls = sum(one.store_sync.store.calls for one in processes)
     for number in range(60):
         for host in ("h-north", "h-south"):
             status, _, _ = await proxied_hosts.send(
@@ -138,7 +138,7 @@
             )
             assert_that(status, Equals(404))
         await pause(0.05)
-    made = sum(one.following.store.calls for one in processes) - calls
+    made = sum(one.store_sync.store.calls for one in processes) - calls
     # Renewals and probes of 3 s, and two readings at most.
     assert_that(made, LessThan(2 * (2 + 4) + 2 * 2))
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -244,7 +244,7 @@
     """All requests are refused as soon as the store does not answer."""
     hosts.store.down = True
     north = hosts.processes["h-north"]
-    await hosts.until(lambda: north.state.contact.away)
+    await hosts.until(lambda: north.state.contact.unavailable)
     status, _, _ = await hosts.send("h-north", "/lookup/a", identifier="r1")
     assert_that(status, Equals(200))
 
@@ -352,10 +352,10 @@
     also learns of a change whose datagram was lost, by the next one.
     """
     north, resting = await hosts.with_resting_host()
-    calls = resting.following.store.calls
+    calls = resting.store_sync.store.calls
     hosts.store.put_json("op/config", configuration(5))
     await hosts.until(lambda: resting.keeper.version == 5)
-    take = resting.following.copies.take_change
+    take = resting.store_sync.replication.apply_change
     resting.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(6))
     await task.deferLater(reactor, 0.3)
@@ -363,7 +363,7 @@
     hosts.store.put_json("op/evacuate/south-a", {})
     await hosts.until(lambda: resting.keeper.version == 6)
     await hosts.until(lambda: resting.registry.evacuated == {"south-a"})
-    assert resting.following.store.calls - calls <= 3
+    assert resting.store_sync.store.calls - calls <= 3
 
 
 @pytest_twisted.ensureDeferred
@@ -373,7 +373,7 @@
     for process in north:
         if process is not resting:
             hosts.store.refuse(process.settings.address)
-    await hosts.until(lambda: resting.following.followers, within=4.0)
+    await hosts.until(lambda: resting.store_sync.watchers, within=4.0)
     hosts.store.put_json("op/config", configuration(5))
     await hosts.until(lambda: all(p.keeper.version == 5 for p in north))
 
@@ -416,15 +416,15 @@
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
-    take = second.following.copies.take_change
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
+    take = second.store_sync.replication.apply_change
     second.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(5))
     north = hosts.processes["h-north"]
     await hosts.until(lambda: north.keeper.version == 5)
     server = hosts.store.items["servers/plain-north"]
-    known = second.following.servers.newest
+    known = second.store_sync.servers.newest_revision
     later = StoredItem(
         server["key"], b64decode(server["value"]), hosts.store.revision + 9
     )
@@ -441,8 +441,8 @@
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
     large = configuration(5)
     first = large["routes"][0]
     large["routes"] += [
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -10,13 +10,13 @@
 from hyssopspring.core.events import HybridClock, Timeline
 from hyssopspring.core.exceptions import KeyValueError
 from hyssopspring.entry.mirrors import (
-    REMOVALS_KEPT,
+    MAX_REMOVALS,
     Changes,
-    Contact,
-    Follower,
     HistoryLostError,
     Mirror,
+    PrefixWatcher,
     Removal,
+    StoreContact,
 )
 from hyssopspring.stores.keyvalues import Entry, Listing
 
@@ -77,8 +77,10 @@
 
     def start(*steps):
         script = Script(steps)
-        contact = Contact(clock, Timeline("h1", HybridClock(clock.seconds)))
-        follower = Follower(
+        contact = StoreContact(
+            clock, Timeline("h1", HybridClock(clock.seconds))
+        )
+        watcher = PrefixWatcher(
             script,
             "a/",
             recorder.mirror,
@@ -89,8 +91,8 @@
             lambda prefix: lambda: None,
             lambda: False,
         )
-        follower.start()
-        return script, contact, follower
+        watcher.start()
+        return script, contact, watcher
 
     return start
 
@@ -178,7 +180,7 @@
     assert_that(len(script.calls), Equals(3))
 
 
-def test_what_vanished_in_an_outage_is_told_apart(follow, clock, recorder):
+def test_keys_lost_in_an_outage_are_marked(follow, clock, recorder):
     """All servers are dropped at once when the store comes back.
 
     Their registrations lapsed while it was away.
@@ -191,9 +193,9 @@
     while not recorder.removed:
         clock.advance(0.1)
     assert_that(recorder.removed, Equals([("a/1", True)]))
-    assert contact.returning
+    assert contact.recovering
     clock.advance(3.0)
-    assert not contact.returning
+    assert not contact.recovering
 
 
 def test_a_store_that_is_away_is_asked_seldom(follow, clock):
@@ -205,7 +207,7 @@
     assert 8 <= len(script.calls) <= 30
 
 
-def test_a_host_that_knows_nothing_asks_more_often(follow, clock):
+def test_a_host_without_a_listing_retries_more_often(follow, clock):
     """A host serves nobody for a second after the store's return.
 
     It started while the store was away, and its pauses had grown.
@@ -236,10 +238,10 @@
     """
     recorder.mirror.put(Entry("a/1", b"one", 3))
     recorder.mirror.refresh(Listing((Entry("a/1", b"one", 3),), 50))
-    assert_that(recorder.mirror.newest, Equals(3))
+    assert_that(recorder.mirror.newest_revision, Equals(3))
     recorder.mirror.refresh(Listing((Entry("a/1", b"new", 60),), 70))
     assert_that(recorder.written[-1], Equals(b"new"))
-    assert_that(recorder.mirror.newest, Equals(70))
+    assert_that(recorder.mirror.newest_revision, Equals(70))
 
 
 def test_a_listing_that_comes_late_takes_no_newer_key_away(recorder):
@@ -251,7 +253,7 @@
     recorder.mirror.apply(Changes((Entry("a/2", b"two", 9),), (), 9))
     recorder.mirror.replace([Entry("a/1", b"one", 3)], 7)
     assert_that(recorder.removed, Equals([]))
-    assert_that(recorder.mirror.newest, Equals(9))
+    assert_that(recorder.mirror.newest_revision, Equals(9))
     recorder.mirror.replace([Entry("a/1", b"one", 3)], 12)
     assert_that(recorder.removed, Equals([("a/2", False)]))
 
@@ -290,12 +292,12 @@
 
 def test_removals_are_remembered_within_bounds(recorder):
     """Guards against memory that grows with each server that ever left."""
-    for number in range(REMOVALS_KEPT + 50):
+    for number in range(MAX_REMOVALS + 50):
         revision = number + 1
         removal = Removal(f"a/{number}", revision)
         recorder.mirror.apply(Changes((), (removal,), revision))
-    assert_that(len(recorder.mirror.removals), Equals(REMOVALS_KEPT))
-    last = f"a/{REMOVALS_KEPT + 49}"
+    assert_that(len(recorder.mirror.removals), Equals(MAX_REMOVALS))
+    last = f"a/{MAX_REMOVALS + 49}"
     recorder.mirror.put(Entry(last, b"old", 1))
     assert_that(recorder.written, Equals([]))
 
@@ -327,11 +329,11 @@
     neighbour's copy of it seems newer than what the watch has brought.
     """
     entry = Entry("a/1", b"x", 1)
-    script, _, follower = follow(Listing((entry,), 5))
+    script, _, watcher = follow(Listing((entry,), 5))
     recorder.mirror.replace([entry], 50)
     for _ in range(6):
         clock.advance(0.5)
-        follower.check()
+        watcher.check()
     assert_that(script.calls[-1], Equals(("watch", 5)))
 
 
@@ -339,9 +341,9 @@
     follow, clock, recorder
 ):
     """Guards against a dead watch that is kept till its time is over."""
-    script, _, follower = follow(Listing((Entry("a/1", b"x", 1),), 5))
+    script, _, watcher = follow(Listing((Entry("a/1", b"x", 1),), 5))
     recorder.mirror.apply(Changes((Entry("a/1", b"y", 9),), (), 9))
     for _ in range(3):
         clock.advance(0.5)
-        follower.check()
+        watcher.check()
     assert_that(script.calls[-1], Equals(("list", "a/")))
--- a/tests/test_provenance.py
+++ b/tests/test_provenance.py
@@ -25,7 +25,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_the_line_of_a_request_tells_the_version_and_who_told_it(hosts):
+async def test_the_line_of_a_request_names_the_version_and_its_source(hosts):
     """A request is handled by an older version, and no line says why."""
     hosts.store.put_json("op/config", configuration(7))
     north = hosts.processes["h-north"]
@@ -56,7 +56,7 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_relayed_request_tells_the_versions_of_both_hosts(hosts):
+async def test_a_relayed_request_logs_the_versions_of_both_hosts(hosts):
     """Two regions differ in their version, and one line shows only one."""
     answer = await hosts.send("h-north", "/bound/a", identifier="r3")
     assert_that(answer[0], Equals(200))
@@ -67,13 +67,13 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_host_that_is_behind_says_so_once(hosts):
+async def test_a_host_that_is_behind_logs_it_once(hosts):
     """A host stays behind its neighbours without a word."""
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
     second.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(8))
     await hosts.until(lambda: second.keeper.version == 8)
--- a/tests/test_farhosts.py
+++ b/tests/test_remotehosts.py
@@ -8,7 +8,7 @@
 from twisted.internet import task
 
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.entry.farhosts import FarHosts
+from hyssopspring.entry.remotehosts import RemoteHosts
 from hyssopspring.traffic.members import Member, Members
 
 
@@ -51,38 +51,42 @@
 
 
 @pytest.fixture
-def far(connections):
-    """Return `FarHosts` of a host with thirty hosts in the south."""
+def remote_hosts(connections):
+    """Return `RemoteHosts` of a host with thirty hosts in the south."""
     members = Members(member("own", "north"))
     for number in range(30):
         members.learn(member(f"s{number}", "south"))
-    return FarHosts(members, connections, task.Clock(), random.Random(1))
+    return RemoteHosts(members, connections, task.Clock(), random.Random(1))
 
 
-def test_a_ready_connection_is_used_before_a_new_one(far, connections):
+def test_a_ready_connection_is_used_before_a_new_one(
+    remote_hosts, connections
+):
     """Work sent away is late although engines there are idle.
 
     Each request goes to another of thirty hosts, so each opens a
     connection and loses a round trip of 160 ms on its way.
     """
     connections.idle["s7"] = 1
-    chosen = [far.choose("south", set()) for _ in range(20)]
+    chosen = [remote_hosts.choose("south", set()) for _ in range(20)]
     assert_that({one.name for one in chosen}, Equals({"s7"}))
-    other = far.choose("south", {"s7"})
+    other = remote_hosts.choose("south", {"s7"})
     assert other.name != "s7"
 
 
-def test_a_spare_connection_is_opened_while_work_is_sent(far, connections):
+def test_a_spare_connection_is_opened_while_work_is_sent(
+    remote_hosts, connections
+):
     """A peak needs several connections at once, not one after another."""
-    far.choose("south", set())
+    remote_hosts.choose("south", set())
     assert_that(connections.prepared, HasLength(1))
     connections.idle = {"s1": 2, "s2": 2}
-    far.choose("south", set())
+    remote_hosts.choose("south", set())
     assert_that(connections.prepared, HasLength(1))
 
 
-def test_a_region_without_hosts_gets_nothing(far):
+def test_a_region_without_hosts_gets_nothing(remote_hosts):
     """All hosts of a region have failed a request, or none is heard."""
-    assert_that(far.choose("west", set()), Is(NOTHING))
+    assert_that(remote_hosts.choose("west", set()), Is(NOTHING))
     tried = {f"s{number}" for number in range(30)}
-    assert_that(far.choose("south", tried), Is(NOTHING))
+    assert_that(remote_hosts.choose("south", tried), Is(NOTHING))
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -17,7 +17,7 @@
     return made
 
 
-def test_all_know_who_lives_and_ask_the_same_host(network):
+def test_all_hosts_agree_on_live_hosts_and_the_placing_host(network):
     """Requests of one region are placed by several hosts, each half blind."""
     for region in REGIONS:
         assert network.agree(region)
@@ -68,7 +68,7 @@
     assert_that(sent[len(sent) * 9 // 10], LessThan(12))
 
 
-def test_the_hosts_that_tell_of_all_others_go_at_once(network):
+def test_the_hosts_that_report_all_others_fail_at_once(network):
     """A region forgets itself when the hosts that it reports to go.
 
     The host that places and the two that would follow lose their power in
@@ -135,7 +135,7 @@
     """Callers are sent to a host that is about to end."""
     leaving = network.hosts["north-30"]
     leaving.members.own.leaving = True
-    leaving.membership.beat()
+    leaving.membership.send_heartbeats()
     network.run(0.4)
     for name in network.names("north"):
         assert "north-30" not in network.hosts[name].live("north")
@@ -168,7 +168,7 @@
         assert_that(host.members.regions(now), Equals(set(REGIONS)))
 
 
-def test_hosts_that_heard_nobody_find_one_another(network):
+def test_hosts_that_were_all_cut_off_find_one_another(network):
     """A region stays in two halves after a cut, each with its own placer.
 
     All hosts of a region hear nobody for some seconds. Each then meets a
@@ -192,7 +192,7 @@
             assert "north-99" in network.hosts[name].live("north")
 
 
-def test_a_start_after_a_clock_that_stepped_back_is_believed(network):
+def test_a_start_after_a_clock_that_stepped_back_is_accepted(network):
     """A host is deaf and mute for half a minute after it starts again.
 
     Its starts are numbered by the time of day, which has stepped back by
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -144,9 +144,9 @@
     north = proxied_hosts.processes["h-north"]
 
     async def probe(follower):
-        north.following.probing = False
+        north.store_sync.probing = False
 
-    north.following.probe = probe
+    north.store_sync.probe = probe
     proxied_hosts.proxies["h-north"].silence(is_watch)
     proxied_hosts.store.put_json("op/config", configuration(9))
     await proxied_hosts.until(
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -37,7 +37,7 @@
     south = proxied_hosts.processes["h-south"]
     proxied_hosts.proxies["h-south"].silence()
     proxied_hosts.proxies["h-south"].cut = True
-    south.following.copies.neighbour_is_newer = lambda member: None
+    south.store_sync.replication.on_peer_ahead = lambda member: None
     south.membership.changed = lambda member: None
     proxied_hosts.store.put_json("op/config", configuration(5))
     north = proxied_hosts.processes["h-north"]
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -29,13 +29,13 @@
     assert_that(view.is_fresh, Is(False))
 
 
-def test_without_a_bound_keys_are_always_believed():
+def test_without_a_bound_keys_are_always_accepted():
     """Deployments that name no bound would refuse keys in an outage."""
     view = ConfirmedView(task.Clock().seconds, NOTHING)
     assert_that(view.is_fresh, Is(True))
 
 
-def unsafe(network):
+def hosts_accepting_stale_keys(network):
     """Return the hosts that believe keys of a version that is too old."""
     return [
         name
@@ -89,7 +89,9 @@
             if second >= change_at:
                 since = network.clock.seconds() - changed_at
                 if since > REVOCATION:
-                    assert_that(unsafe(network), Equals([]))
+                    assert_that(
+                        hosts_accepting_stale_keys(network), Equals([])
+                    )
 
 
 def begin(network, kind, host):
@@ -131,7 +133,7 @@
     assert_that(oldest, LessThan(REVOCATION / 2))
 
 
-def test_hosts_that_the_store_turns_away_hear_of_it_from_others():
+def test_hosts_refused_by_the_store_are_confirmed_by_others():
     """A host refuses keys though its neighbours could vouch for them."""
     network = Network(6)
     network.run(3)
@@ -161,7 +163,7 @@
 
 
 @pytest.mark.parametrize("seconds", [5.5, 9.0])
-def test_a_cut_region_is_back_within_a_second_of_the_way(seconds):
+def test_a_cut_region_recovers_within_a_second_of_the_link(seconds):
     """A region goes on refusing keys long after it is reached again."""
     network = Network(6)
     network.run(3)
@@ -175,7 +177,7 @@
     assert_that(all(host.view.is_fresh for host in south), Is(True))
 
 
-def test_a_host_that_wakes_believes_nothing_that_lay_in_its_buffers():
+def test_a_resumed_host_ignores_confirmations_from_its_buffers():
     """A woken host serves a key that was taken away while it slept.
 
     An answer that had come before the key went lay in its buffer. It is
@@ -184,14 +186,14 @@
     network = Network(6)
     network.run(3)
     host = network.hosts["south-3"]
-    host.views.ask(network.placer_of(host).members.own)
+    host.views.request_confirmation(network.placer_of(host).members.own)
     network.freeze(host)
     network.run(1.0)
     network.version += 1
     network.run(REVOCATION)
     network.wake(host)
     assert_that(host.view.is_fresh, Is(False))
-    host.views.hurry()
+    host.views.refresh()
     network.run(0.4)
     assert_that(
         (host.view.is_fresh, host.keeper.version),
@@ -211,18 +213,18 @@
         lambda: all(p.keeper.version == 2 for p in hosts.processes.values())
     )
     for process in hosts.processes.values():
-        process.state.view.life = 1.5
+        process.state.view.max_age = 1.5
     hosts.store.down = True
     await task.deferLater(reactor, 3.2)
-    assert_that(await ask(hosts, "/lookup/a"), Equals(503))
-    assert_that(await ask(hosts, "/open/a"), Equals(200))
+    assert_that(await request_status(hosts, "/lookup/a"), Equals(503))
+    assert_that(await request_status(hosts, "/open/a"), Equals(200))
     hosts.store.down = False
     hosts.store.waiting.clear()
     await hosts.until(lambda: hosts.processes["h-north"].state.view.is_fresh)
-    assert_that(await ask(hosts, "/lookup/a"), Equals(200))
+    assert_that(await request_status(hosts, "/lookup/a"), Equals(200))
 
 
-async def ask(hosts, path):
+async def request_status(hosts, path):
     """Return the status of a request with a key."""
     status, _, _ = await hosts.send(
         "h-north", path, identifier="r1", x_api_key="desk-key"
