--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -332,7 +332,7 @@
         )
         outcome = await self.carry(placed.predicted)
         self.state.asking.note_end(number, self.attempt.finding)
-        await self.state.endings.examine(
+        await self.state.crash_detector.examine(
             self.attempt, self.request.peer_ip, placed.predicted
         )
         if not isinstance(outcome, Answered) or outcome.status >= 500:
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -62,11 +62,11 @@
 """Seconds between load reports to other regions; loads change within the
 time of a few requests."""
 
-TICKET_REPORT_HOSTS = 2
+PLACEMENT_REPORT_HOSTS = 2
 """Hosts of the region that hear of work in progress: the one that places,
 and the one that would take over."""
 
-UNCONFIRMED_TICKET_SECONDS = 0.7
+UNCONFIRMED_PLACEMENT_SECONDS = 0.7
 """Seconds after which a placed request that its host does not name any
 more is taken as ended."""
 
@@ -189,11 +189,11 @@
         reports = (
             (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
             (
-                contacts[1:TICKET_REPORT_HOSTS],
+                contacts[1:PLACEMENT_REPORT_HOSTS],
                 self.heartbeat(Report.HEARTBEATS, tickets),
             ),
             (
-                contacts[TICKET_REPORT_HOSTS:],
+                contacts[PLACEMENT_REPORT_HOSTS:],
                 self.heartbeat(Report.HEARTBEATS),
             ),
         )
@@ -373,7 +373,7 @@
         self.sharing.compare(member, message.crashes)
         self.notices.compare(member, message.notices)
         if message.tickets is not None:
-            self.handle_tickets(message, now)
+            self.handle_placements(message, now)
 
     def announce_leaving(self, member, now):
         """Tell at once that a host is about to leave.
@@ -407,14 +407,17 @@
             roster = self.rosters.roster(own, now)
             self.datagrams.send(roster, sender.control)
 
-    def handle_tickets(self, message, now):
+    def handle_placements(self, message, now):
         """Make the work of a host agree with what it says."""
         numbers = {ticket.number for ticket in message.tickets}
         self.placer.keep_only(
-            message.host, numbers, now, older_than=UNCONFIRMED_TICKET_SECONDS
+            message.host,
+            numbers,
+            now,
+            older_than=UNCONFIRMED_PLACEMENT_SECONDS,
         )
         for row in message.tickets:
-            self.placer.adopt(decode_ticket(message.host, row, now), now)
+            self.placer.adopt(decode_placement(message.host, row, now), now)
 
     def handle_placement_query(self, message):
         """Place a request of another host."""
@@ -486,7 +489,7 @@
     return RegionLoad(load.slots, tuple(rooms), tuple(load.read))
 
 
-def decode_ticket(host, row, now):
+def decode_placement(host, row, now):
     """Return the `Ticket` of a row in a heartbeat."""
     return Ticket(
         host=host,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -210,7 +210,7 @@
                 settings.retry_extra,
                 settings.retry_window,
             ),
-            endings=Endings(
+            crash_detector=Endings(
                 connections,
                 self.registry,
                 self.reactor,
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -320,7 +320,7 @@
         )
         outcome = await self.attempt.run()
         self.state.asking.note_end(number, self.attempt.finding)
-        await self.state.endings.examine(
+        await self.state.crash_detector.examine(
             self.attempt,
             self.order.caller,
             placed.predicted,
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -26,7 +26,7 @@
         view: `ConfirmedView` of the configuration.
         provenance: `Provenance` of the configuration in force.
         retries: `RetryWindow`.
-        endings: `Endings` of backend servers.
+        crash_detector: `Endings` of backend servers.
         sharing: `CrashSharing` of requests under which servers ended.
         notices: `Notices` that servers give in their answers.
         codec: Reads and writes the headers of callers and servers.
@@ -47,7 +47,7 @@
     view: object
     provenance: object
     retries: object
-    endings: object
+    crash_detector: object
     sharing: object
     notices: object
     codec: object
