--- a/src/hyssopspring/entry/fetching.py
+++ b/src/hyssopspring/entry/fetching.py
@@ -1,4 +1,4 @@
-"""Small calls whose whole answer is wanted: store and other hosts."""
+"""Short HTTP calls to the store and to other hosts."""
 
 from twisted.internet import defer
 from twisted.web._newclient import Request as ClientRequest
@@ -14,7 +14,7 @@
 
 
 async def fetch(connections, lane, method, uri, host, body, *, timeout, clock):
-    """Send one call and return status and body of the answer.
+    """Send one call; return the status and the body of the response.
 
     Args:
         connections: The `Connections`.
@@ -22,13 +22,13 @@
         method: HTTP method.
         uri: Path and query.
         host: Value of the Host header.
-        body: The body, maybe empty.
-        timeout: Most seconds for all of it.
+        body: The body, which may be empty.
+        timeout: Time limit in seconds for the whole call.
         clock: The runtime's clock.
 
     Raises:
-        NoAnswerError: No whole answer came in time.
-        CancelledError: The caller has cancelled it.
+        NoAnswerError: No complete response arrived in time.
+        CancelledError: The caller has cancelled the call.
     """
     call = _Call(connections, lane, method, uri, host, body)
     work = defer.ensureDeferred(call.run())
@@ -56,7 +56,7 @@
         self.connection = None
 
     async def run(self):
-        """Send the call and read the whole answer."""
+        """Send the call and read the whole response."""
         self.connection = await self.connections.open(self.lane, kept=True)
         headers = Headers({b"host": [self.host]})
         producer = None
@@ -72,10 +72,10 @@
         response.deliverBody(reader)
         await reader.done
         if not reader.reason.check(ResponseDone):
-            raise NoAnswerError("the answer was cut")
+            raise NoAnswerError("response body was truncated")
         return response.code, reader.body
 
     def abort(self):
-        """Close the connection of a call that failed."""
+        """Abort the connection of a failed call."""
         if self.connection is not None:
             self.connection.transport.abortConnection()
--- a/src/hyssopspring/entry/launch.py
+++ b/src/hyssopspring/entry/launch.py
@@ -1,9 +1,10 @@
-"""Start an entry process soon: after a loss of power nobody else serves.
+"""Fast start of an entry process: after a power loss no other host serves.
 
-No garbage is collected while modules load. They make some hundred thousand
-objects that all stay, and looking through them again and again is a tenth
-of the time to load them (302 ms with, 272 ms without, the least of fifteen
-starts). What is loaded by then is left out of later collections.
+Garbage collection is disabled while modules load. They allocate several
+hundred thousand objects that all stay alive, and scanning them repeatedly
+takes a tenth of the load time (302 ms with collection, 272 ms without, the
+minimum of fifteen starts). Later collections skip the objects that are loaded
+by then.
 """
 
 import gc
@@ -13,10 +14,10 @@
 
 
 def main():
-    """Load the program without collections, then run it.
+    """Load the program without garbage collection, then run it.
 
-    A reload is ignored until the program can note it; by default the signal
-    would end the process.
+    SIGHUP is ignored until the program handles it as a reload; by default the
+    signal would end the process.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     gc.disable()
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats and load reports between hosts."""
+"""Heartbeats, rosters and load reports between hosts."""
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
@@ -34,44 +34,45 @@
 __all__ = ["Membership"]
 
 HEARTBEAT_INTERVAL_SECONDS = 0.5
-"""Seconds between heartbeats to the hosts of the region."""
+"""Interval between heartbeats to the hosts of the region."""
 
 ROSTER_INTERVAL_HEARTBEATS = 2
-"""Heartbeat intervals between two rosters of this region. Who is about to
-leave is told at once."""
+"""Heartbeat intervals between two rosters of the own region. A host that is
+leaving is announced at once, outside this interval."""
 
 REMOTE_INTERVAL_HEARTBEATS = 4
-"""Heartbeat intervals between two rosters of or to another region."""
+"""Heartbeat intervals between two rosters of, or to, another region."""
 
 SEND_BATCH_HOSTS = 6
 SEND_BATCH_PAUSE_SECONDS = 0.02
-"""Hosts to which the same is sent at once, and seconds to the next ones. A
-host that sends to its whole region in one go fills a link of 20 Mbit/s, and
-what it sends last, to other regions, is always lost."""
+"""Hosts that are sent a message in one batch, and the pause between batches. A
+host that sends to its whole region in one burst saturates a 20 Mbit/s link,
+which then always drops the datagrams sent last, those for other regions."""
 
 REMOTE_REPLY_SECONDS = 6.5
-"""Seconds within which a host of another region must answer a report: the
-third in a row is without an answer by then."""
+"""Time within which a host of another region must answer a report. By then
+three reports in a row have gone unanswered."""
 
 MAX_CONTACTS = 3
-"""Hosts of a region that a host reports to: the one that places, and two
-that would follow. With two, the loss of a data centre leaves a region
-without any one time in two. Placing hosts report to as many elsewhere."""
+"""Hosts of a region that a host reports to: the placing host and two
+candidates to replace it. With only one candidate, the loss of a data centre
+leaves the region without any of them in one case of two. Placing hosts report
+to the same number of hosts in each other region."""
 
 LOAD_REPORT_INTERVAL_SECONDS = 0.2
-"""Seconds between load reports to other regions; loads change within the
-time of a few requests."""
+"""Interval between load reports to other regions. Loads change within the
+duration of a few requests."""
 
 PLACEMENT_REPORT_HOSTS = 2
-"""Hosts of the region that hear of work in progress: the one that places,
-and the one that would take over."""
+"""Hosts of the region that receive the placements in progress: the placing
+host and the first candidate to replace it."""
 
 UNCONFIRMED_PLACEMENT_SECONDS = 0.7
-"""Seconds after which a placed request that its host does not name any
-more is taken as ended."""
+"""Age from which a placement that its host no longer reports is treated as
+ended."""
 
 FORGET_HOST_SECONDS = 30.0
-"""Seconds without a word after which a host is forgotten."""
+"""Time without any message about a host after which it is forgotten."""
 
 
 class Membership:
@@ -84,8 +85,7 @@
         datagrams: The `Datagrams`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        changed: Called with a `Member` that has newer state than this
-            host.
+        changed: Called with a `Member` that has newer state than this host.
         store_changed: Called with a `StoreChange` of another host.
         sharing: The `CrashSharing`.
         notices: The `Notices`.
@@ -141,10 +141,10 @@
         }
 
     def receive(self, message, ip):
-        """Take one message of another host.
+        """Dispatch one message from another host to its handler.
 
-        Only a heartbeat may come from a host that is not known yet, and
-        it must come from the address that it names.
+        Only a heartbeat is accepted from an unknown host, and only if it
+        arrives from the address that it names.
         """
         if isinstance(message, Heartbeat):
             known = message.control.rpartition(":")[0] == ip
@@ -156,7 +156,7 @@
         self.handlers[type(message)](message)
 
     def send_heartbeats(self):
-        """Report to a few hosts, answer those that report to this one."""
+        """Report to the contacts, and answer the hosts that report here."""
         now = self.clock.seconds()
         region = self.members.own.region
         contacts = self.members.contacts(now, region, MAX_CONTACTS)
@@ -183,7 +183,7 @@
     def report_to_contacts(self, contacts):
         """Send heartbeats to the hosts that this one reports to.
 
-        The first of them tells of all others.
+        The first of them sends rosters of all other hosts in return.
         """
         tickets = self.asking.open_tickets()
         reports = (
@@ -202,7 +202,7 @@
                 self.datagrams.send_all(message, members)
 
     def send_rosters(self, reporting, now):
-        """Tell who lives, to those that count on this host for it."""
+        """Send rosters to the hosts that rely on this one for them."""
         wanting = [one for one in reporting if one.wants is Report.ROSTERS]
         regions = []
         if self.heartbeats_sent % ROSTER_INTERVAL_HEARTBEATS == 0:
@@ -213,15 +213,15 @@
             self.send_in_batches(self.rosters.roster(region, now), wanting)
 
     def other_regions(self):
-        """Return the other regions of which hosts are known."""
+        """Return the other regions of which at least one host is known."""
         known = {member.region for member in self.members.others.values()}
         return sorted(known - {self.members.own.region})
 
     def report_to_remote_regions(self, now):
-        """Tell a few hosts of each other region who lives here.
+        """Send this region's roster to a few hosts of each other region.
 
-        A roster is believed only from a host that is known; the heartbeat
-        makes this one known.
+        A roster is accepted only from a known host; the heartbeat that
+        precedes it makes this host known.
         """
         self.remote_contacts = self.choose_remote_contacts(
             self.other_regions(), now
@@ -231,7 +231,7 @@
         self.datagrams.send_all(roster, self.remote_contacts)
 
     def send_in_batches(self, message, members):
-        """Send *message* to hosts of the region, a few at a time."""
+        """Send a message to hosts of the region, a few at a time."""
         for first in range(0, len(members), SEND_BATCH_HOSTS):
             some = members[first : first + SEND_BATCH_HOSTS]
             if not first:
@@ -258,14 +258,14 @@
         return chosen
 
     def is_placing(self, now):
-        """Whether this host places for its region."""
+        """Return whether this host places requests for its region."""
         return self.members.placers(now)[0] is self.members.own
 
     def send_initial_state(self, member):
-        """Tell a host that has just started what it needs at once.
+        """Send a host that has just started the state that it needs at once.
 
-        Until it has heard of other hosts and of their load it refuses
-        what its own region cannot serve.
+        Until it has received the state and load of other hosts, it rejects
+        requests that its own region cannot serve.
         """
         if member is None:
             return
@@ -275,7 +275,7 @@
             self.datagrams.send(self.load_report(), member.control)
 
     def heartbeat(self, report=Report.NONE, tickets=None):
-        """Return the heartbeat of this moment.
+        """Return a heartbeat with the current state.
 
         Args:
             report: The `Report`.
@@ -303,7 +303,7 @@
         )
 
     def update_live_hosts(self, now):
-        """Forget the work of hosts that fell silent."""
+        """Log hosts that appear or time out; drop the work of the latter."""
         live = {member.name for member in self.members.live(now)}
         for name in self.previously_live - live:
             self.placer.forget_host(name, now)
@@ -314,13 +314,13 @@
         self.members.forget_silent(now, FORGET_HOST_SECONDS)
 
     def remote_hosts_to_notify(self):
-        """Return the hosts of other regions to tell news, if this places."""
+        """Return the remote hosts to notify if this host places, else none."""
         if not self.is_placing(self.clock.seconds()):
             return []
         return self.remote_contacts
 
     def broadcast_in_region(self, message):
-        """Send *message* to all other hosts of the region."""
+        """Send a message to all other hosts of the region."""
         region = self.members.own.region
         others = self.members.others.values()
         self.datagrams.send_all(
@@ -328,14 +328,14 @@
         )
 
     def send_load_report(self):
-        """Tell the other regions this one's load, if this host places."""
+        """Send this region's load to the other regions if this host places."""
         now = self.clock.seconds()
         self.placer.sweep(now)
         if self.remote_contacts and self.is_placing(now):
             self.datagrams.send_all(self.load_report(), self.remote_contacts)
 
     def load_report(self):
-        """Return this region's load as this host sees it."""
+        """Return this region's load as recorded at this host."""
         loads = self.placer.summarize(self.clock.seconds())
         return Summary(
             self.members.own.region,
@@ -343,7 +343,7 @@
         )
 
     def handle_heartbeat(self, message):
-        """Note that a host is up, and what it has."""
+        """Record that a host is up, and the state that it reports."""
         now = self.clock.seconds()
         member = self.members.others.get(message.host)
         if member is None or message.incarnation != member.incarnation:
@@ -376,10 +376,10 @@
             self.handle_placements(message, now)
 
     def announce_leaving(self, member, now):
-        """Tell at once that a host is about to leave.
+        """Announce at once that a host is about to leave.
 
-        It serves on for little longer than callers keep an answer of the
-        directory, which must not name it any more.
+        It keeps serving for only slightly longer than callers cache an answer
+        of the directory, so the directory must stop naming it immediately.
         """
         wanting = [
             one
@@ -391,10 +391,10 @@
         )
 
     def handle_roster(self, message):
-        """Note which hosts live; answer a host of another region.
+        """Record which hosts are up, and answer a host of another region.
 
-        Right after a start that one may know just a few hosts here, and
-        not the one that places. It learns of the others by the roster.
+        Right after its start that host may know only a few hosts here, and not
+        the placing one. The roster in the answer names the others.
         """
         self.rosters.handle_roster(message)
         sender = self.members.others.get(message.host)
@@ -408,7 +408,7 @@
             self.datagrams.send(roster, sender.control)
 
     def handle_placements(self, message, now):
-        """Make the work of a host agree with what it says."""
+        """Replace the recorded placements of a host by the reported ones."""
         numbers = {ticket.number for ticket in message.tickets}
         self.placer.keep_only(
             message.host,
@@ -420,17 +420,17 @@
             self.placer.adopt(decode_placement(message.host, row, now), now)
 
     def handle_placement_query(self, message):
-        """Place a request of another host."""
+        """Place a request for another host."""
         member = self.members.others.get(message.host)
         if member is not None:
             self.asking.take_question(message, member)
 
     def handle_placement_reply(self, message):
-        """Take the decision of a placing host."""
+        """Pass on the decision of a placing host."""
         self.asking.take_answer(message)
 
     def handle_attempt_started(self, message):
-        """Note the first event of another host's request."""
+        """Record the first event of another host's request."""
         self.placer.note_start(
             message.host,
             message.number,
@@ -439,7 +439,7 @@
         )
 
     def handle_attempt_ended(self, message):
-        """Note the end of another host's attempt."""
+        """Record the end of another host's attempt."""
         self.asking.take_end(
             message.host,
             message.number,
@@ -448,7 +448,7 @@
         )
 
     def handle_load_report(self, message):
-        """Take over another region's load."""
+        """Record another region's load."""
         now = self.clock.seconds()
         self.placer.take_load(
             message.region,
@@ -461,7 +461,7 @@
 
 
 def encode_load(load):
-    """Return the `ServiceLoad` of a `RegionLoad`."""
+    """Return a `RegionLoad` as a `ServiceLoad` message."""
     rooms = [
         ToldRoom(
             [round(wait * 1000) for wait in room.waits],
@@ -475,7 +475,7 @@
 
 
 def decode_load(load):
-    """Return the `RegionLoad` of a `ServiceLoad`."""
+    """Return a `ServiceLoad` message as a `RegionLoad`."""
     rooms = [
         Room(
             tuple(millis / 1000 for millis in told.waits),
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -1,4 +1,4 @@
-"""A copy of part of the store, and the loop that keeps it current."""
+"""A local mirror of a store prefix, and the watcher that keeps it current."""
 
 from dataclasses import dataclass
 
@@ -21,43 +21,43 @@
 ]
 
 WATCH_WAIT_SECONDS = 12.0
-"""Seconds for which a watch waits; a call is paid for each, and a silent
-connection shows by its own probes well before."""
+"""Time for which a watch call waits for changes. Each call is billed, and TCP
+keepalive probes detect a dead connection well before this time."""
 
 WATCH_PAUSE_SECONDS = 0.2
-"""Seconds between an answer of a watch that brought something and the next
-call. Changes come in bursts, when servers register or are replaced, and
-each answer is paid for; the bounds on changes are several seconds."""
+"""Pause between a watch answer with changes and the next call. Changes come in
+bursts, when servers register or are replaced, and each answer is billed; the
+time limits for changes are several seconds."""
 
 STARTING_PAUSE_SECONDS = 0.8
-"""The same for a host that has just started, and so watches until it hears
-of those that watch for it. When all start together each would make five
-calls while servers register."""
+"""The same pause for a host that has just started. It watches by itself until
+it receives messages from the hosts that watch for the region. When all hosts
+start together, each would otherwise make five calls while servers register."""
 
 MIN_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 0.8
-"""Bounds of the pause after a failed call, in seconds: at most one call a
-second from each host while the store is away."""
+"""Bounds of the pause after a failed call. While the store is down, each host
+makes at most about one call a second."""
 
 MAX_INITIAL_RETRY_SECONDS = 0.3
-"""Longest pause of a host that has never read the store: it serves nobody
-until it has."""
+"""Longest pause of a host that has never read the store. Such a host cannot
+serve any request until it has."""
 
 WATCH_LAG_SECONDS = 0.9
-"""Seconds for which a watch may lack what the mirror has by other ways. A
-watch that lives brings it within a few round trips."""
+"""Time for which a watch may lack a change that the mirror has received
+through another channel. A live watch delivers it within a few round trips."""
 
 STORE_DOWN_SECONDS = 0.6
-"""Seconds of failing calls after which the store counts as away."""
+"""Duration of failing calls after which the store counts as down."""
 
 RECOVERY_SECONDS = 2.2
-"""Seconds after the store's return in which lapsed registrations may
-still come back."""
+"""Time after the store's recovery in which expired registrations may still be
+renewed."""
 
 
 MAX_REMOVALS = 1000
-"""Removed keys that are remembered; word of a change that is later than a
-thousand removals does not arrive any more."""
+"""Number of removed keys that are remembered. A delayed message about an
+earlier change no longer arrives after a thousand later removals."""
 
 
 class HistoryLostError(KeyValueError):
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed since a revision.
+    """The changes since a revision.
 
     Attributes:
         entries: `Entry` of each key that was written.
         removals: `Removal` of each key that was removed.
-        revision: Revision from which to go on.
+        revision: Revision from which to continue.
     """
 
     entries: tuple = ()
@@ -97,16 +97,19 @@
 
     Args:
         written: Called with each `Entry` that is new to the copy.
-        removed: Called with each key that is gone, and whether it went
-            while the store was away.
+        removed: Called with each key that was removed, and whether it was
+            removed while the store was down.
 
     Attributes:
-        origin: `Origin` of what was taken over last, or `NOTHING`.
+        origin: `Origin` of the last change applied, or `NOTHING`.
         removals: Revision at which each removed key was last known to be
-            gone.
-        newest: Newest revision that it reflects. A listing names that of
-            the store, which rises with other keys too.
-        latest: Revision of the newest change among its own keys.
+            absent.
+        newest_revision: Newest revision that the mirror reflects. A listing
+            names the revision of the whole store, which also rises with other
+            keys.
+        newest_change_revision: Revision of the newest change among its own
+            keys.
+        loaded: Whether a listing has been applied.
     """
 
     def __init__(self, written, removed):
@@ -120,12 +123,12 @@
         self.origin = NOTHING
 
     def replace(self, entries, newest, *, outage=False, origin=NOTHING):
-        """Take over a whole listing, but for keys that changed after it.
+        """Apply a full listing, except for keys that changed after it.
 
         Args:
             entries: Each `Entry`.
             newest: Revision that the listing reflects.
-            outage: Whether the store has just come back.
+            outage: Whether the store has just recovered.
             origin: The `Origin` of the listing.
         """
         self.origin = origin
@@ -134,14 +137,14 @@
             self.remove(Removal(key, newest), outage)
         for entry in entries:
             if self.removals.get(entry.key, newest) < newest:
-                # It exists at a later revision than that removal.
+                # The key exists at a later revision than the recorded removal.
                 del self.removals[entry.key]
             self.put(entry)
         self.newest_revision = max(self.newest_revision, newest)
         self.loaded = True
 
     def difference(self, listing):
-        """Return the `Changes` that a listing brings."""
+        """Return the `Changes` between the mirror and a listing."""
         listed = {entry.key for entry in listing.entries}
         return Changes(
             tuple(
@@ -163,12 +166,13 @@
         return 0 if known is None else known.revision
 
     def refresh(self, listing):
-        """Take over a listing that was read beside the watch.
+        """Apply a listing that was read in addition to the watch.
 
-        Most bring nothing new. The newest revision stays then as it is:
-        the store's own rises all the time, and hosts that see a higher one
-        elsewhere read a copy. One that is older than what the watch has
-        brought lacks keys that were written since.
+        Most listings contain nothing new. The newest revision then stays as it
+        is: the revision of the store rises all the time, and hosts that see a
+        higher revision at a peer read its snapshot. A listing older than what
+        the watch has delivered is ignored, because it lacks keys written
+        since.
         """
         if listing.revision < self.newest_revision:
             return
@@ -182,7 +186,7 @@
             )
 
     def apply(self, changes, *, outage=False, origin=NOTHING):
-        """Take over what has changed."""
+        """Apply changes in the order of their revisions."""
         self.origin = origin
         rows = [(entry.revision, entry) for entry in changes.entries]
         rows += [(removal.revision, removal) for removal in changes.removals]
@@ -197,7 +201,7 @@
                 self.put(row)
 
     def put(self, entry):
-        """Take over one entry unless it is older than the known one."""
+        """Apply one entry unless it is older than the known one."""
         known = self.entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
             return
@@ -211,7 +215,7 @@
         self.written(entry)
 
     def remove(self, removal, outage):
-        """Remove one key unless it was written again since."""
+        """Remove one key unless it has been written again since."""
         known = self.entries.get(removal.key)
         if known is not None and known.revision > removal.revision:
             return
@@ -221,7 +225,7 @@
             self.removed(removal.key, outage)
 
     def record_removal(self, removal):
-        """Remember a removal, and forget the oldest if there are many."""
+        """Record a removal; drop the oldest record if there are too many."""
         before = self.removals.pop(removal.key, 0)
         self.removals[removal.key] = max(before, removal.revision)
         if len(self.removals) > MAX_REMOVALS:
@@ -229,7 +233,7 @@
 
 
 class StoreContact:
-    """When the store was last heard, and since when it is away.
+    """The time of the last answer of the store, and its outages.
 
     Args:
         clock: The runtime's clock.
@@ -245,7 +249,7 @@
         self.unavailable = False
 
     def record_reply(self):
-        """Note an answer of the store."""
+        """Record an answer of the store."""
         now = self.clock.seconds()
         self.last_reply_at = now
         self.failing_since = NOTHING
@@ -255,7 +259,7 @@
             self.timeline.note(EventKind.PLATFORM_BACK)
 
     def record_failure(self, why):
-        """Note a call without an answer."""
+        """Record a call without an answer."""
         now = self.clock.seconds()
         if self.failing_since is NOTHING:
             self.failing_since = now
@@ -268,14 +272,14 @@
 
     @property
     def age(self):
-        """Seconds since the store was heard."""
+        """Seconds since the last answer of the store."""
         if self.last_reply_at is NOTHING:
             return 1e6
         return self.clock.seconds() - self.last_reply_at
 
     @property
     def recovering(self):
-        """Whether the store is away or has come back a moment ago."""
+        """Whether the store is down or has recovered only a moment ago."""
         if self.unavailable or self.failing_since is not NOTHING:
             return True
         if self.recovered_at is NOTHING:
@@ -293,11 +297,11 @@
         contact: The `StoreContact`.
         clock: The runtime's clock.
         rng: Random number generator.
-        changed: Called with the `Changes` that a watch has brought, and
-            whether the store had been away, before the mirror has them.
+        changed: Called with the prefix, the `Changes` from a watch and whether
+            the store was down, before they are applied to the mirror.
         before_listing: Called with the prefix before a listing; returns a
-            callable to call when the mirror has it.
-        is_starting: Called for whether this host has just started.
+            callable to call once the mirror reflects it.
+        is_starting: Called to find out whether this host has just started.
     """
 
     def __init__(
@@ -332,22 +336,22 @@
         self.work = NOTHING
 
     def start(self):
-        """Begin to follow; return a deferred that fires on a stop."""
+        """Start watching; return a deferred that fires when it stops."""
         self.work = defer.ensureDeferred(self.run())
         return self.work
 
     def stop(self):
-        """End following."""
+        """Stop watching."""
         self.running = False
         if self.work is not NOTHING:
             self.work.addErrback(lambda _: None)
             self.work.cancel()
 
     async def run(self):
-        """List, then watch, and begin anew when history is lost.
+        """List, then watch, and list again when the history is lost.
 
-        An error that nobody expected is written to the log and must not
-        end it: this host would never hear of a change again.
+        An unexpected error is logged and must not end the loop: this host
+        would never receive a change again.
         """
         while self.running:
             try:
@@ -365,7 +369,7 @@
                     continue
                 self.contact.record_failure(problem)
                 await self.back_off()
-            except Exception:  # noqa: BLE001 - written to the log
+            except Exception:  # noqa: BLE001 - all are logged
                 self.contact.timeline.note(
                     EventKind.UNEXPECTED, error=Failure().getTraceback()
                 )
@@ -373,13 +377,14 @@
                 await self.back_off()
 
     async def step(self):
-        """Make one call and take over its answer.
-
-        A watch that ends without an event is followed by a listing. While
-        the store drops its history, watches hear nothing of changes that
-        are made; one that goes on from the revision before waits, although
-        it has missed them, until the next change. Requests would be
-        handled by an old configuration, and go to servers that leave.
+        """Make one call and apply its answer.
+
+        A watch that ends without an event is followed by a listing. While the
+        store drops its history, watches do not receive the changes made in
+        the meantime, and a watch that resumes from the previous revision waits
+        until the next change although it has missed some. Requests would then
+        be handled with an old configuration, or go to servers that are
+        leaving.
         """
         if self.after_revision is NOTHING:
             outage = self.contact.recovering
@@ -421,7 +426,7 @@
             self.pending_watch = NOTHING
 
     def apply_listing(self, listing, *, outage):
-        """Take over a listing, and pass on what was not known."""
+        """Apply a listing, and pass on the changes that it contains."""
         if self.mirror.loaded:
             changes = self.mirror.difference(listing)
             if changes.entries or changes.removals:
@@ -434,7 +439,7 @@
         )
 
     def apply_probe(self, changes):
-        """Take over what a probe has found beside the watch."""
+        """Apply changes that a probe has found in addition to the watch."""
         self.record_reply()
         if not changes.entries and not changes.removals:
             return
@@ -443,12 +448,12 @@
         self.mirror.apply(changes, outage=outage, origin=Origin(Channel.PROBE))
 
     def record_listing(self, prefix):
-        """Note that the mirror was confirmed beside the watch."""
+        """Record that a listing outside the watch has confirmed the mirror."""
         if prefix == self.prefix and self.last_reply_at is not NOTHING:
             self.last_reply_at = self.clock.seconds()
 
     def check(self):
-        """Begin anew if the watch lacks what the mirror has."""
+        """Restart the watch if it lacks changes that the mirror has."""
         now = self.clock.seconds()
         if (
             self.pending_watch is NOTHING
@@ -461,10 +466,10 @@
             self.restart("overtaken")
 
     def restart(self, why):
-        """Begin anew with a listing, as the watch that waits may be dead.
+        """Restart with a listing, as the pending watch may be dead.
 
         Args:
-            why: What speaks against it, for the time line.
+            why: The evidence against the watch, for the event log.
         """
         if self.pending_watch is NOTHING or self.restarting:
             return
@@ -479,12 +484,12 @@
         self.pending_watch.cancel()
 
     def record_reply(self):
-        """Note an answer to a listing, a watch or a probe."""
+        """Record an answer to a listing, a watch or a probe."""
         self.last_reply_at = self.clock.seconds()
         self.contact.record_reply()
 
     def back_off(self):
-        """Wait before the next try, longer each time, never in step."""
+        """Wait for the next attempt, with exponential backoff and jitter."""
         pause = self.retry_delay * (0.5 + self.rng.random())
         longest = (
             MAX_RETRY_SECONDS
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -56,26 +56,26 @@
 __all__ = ["EntryProcess", "main"]
 
 CHECK_INTERVAL_SECONDS = 0.1
-"""Seconds between looks at requests in progress; a request is answered
-at most this much after its time."""
+"""Interval between checks of the requests in progress; a request is answered
+at most this long after its deadline."""
 
 LOG_FLUSH_INTERVAL_SECONDS = 0.25
-"""Seconds between writes of log lines."""
+"""Interval between writes of log lines."""
 
 PEER_IDLE_SECONDS = 30.0
-"""Seconds for which a connection of another host may idle; the other side
-stops using it much sooner."""
+"""Idle timeout of connections from other hosts. The other side stops using an
+idle connection much sooner."""
 
 SOCKET_FLUSH_SECONDS = 0.25
-"""Seconds between the end of the last request and the end of the process.
-The end of an answer is still in the buffer of its connection then; a
-process that ended at once would cut an answer that was whole."""
+"""Delay between the end of the last request and the end of the process. The
+end of a response is still in the buffer of its connection then; a process that
+exited at once would truncate a complete response."""
 
 LISTEN_BACKLOG = 512
 
 
 class EntryProcess:
-    """All parts of one entry process, wired.
+    """An entry process with all of its parts connected.
 
     Args:
         settings: The `EntrySettings`.
@@ -85,7 +85,7 @@
             counts while the host is suspended.
         rng: Random number generator.
         write: Called with bytes of log lines.
-        metrics_port: Port of the metrics, or 0 for none.
+        metrics_port: Port of the metrics page, or 0 for none.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         self.build_services()
 
     def build_state(self, boot_clock, wall):
-        """Make what decides, and the state that all parts share."""
+        """Build the decision logic and the state that all parts share."""
         settings = self.settings
         self.keeper = ConfigurationKeeper()
         self.registry = Registry(settings.regions)
@@ -233,7 +233,7 @@
         )
 
     def build_services(self):
-        """Make what talks to the store, to hosts and to callers."""
+        """Build the parts that communicate with store, hosts and callers."""
         store = PlatformStore(
             self.settings.store,
             self.state.connections,
@@ -293,12 +293,12 @@
         return self.keeper.current.service(name)
 
     def cold_rate_limit(self, service):
-        """Return the requests that a cold server stands in a second."""
+        """Return the requests per second that a cold server may receive."""
         factor = service.cold_rate * self.settings.cold_factor
         return factor + self.settings.cold_extra
 
     def on_configuration_applied(self):
-        """Tell the hosts of the region, and serve those that waited."""
+        """Announce the new version, and release requests held at the start."""
         self.membership.send_heartbeats()
         self.callers.starting.release()
 
@@ -309,7 +309,7 @@
         return self.keeper.current.limits
 
     def start(self):
-        """Listen, and begin all periodic work."""
+        """Open all ports and start the periodic work."""
         settings = self.settings
         own = self.members.own
         self.listen(settings.front, self.callers.handle)
@@ -360,26 +360,27 @@
         )
 
     def repeat(self, interval, work):
-        """Call *work* every *interval* seconds, now first."""
+        """Call *work* now and then every *interval* seconds."""
         loop = task.LoopingCall(self.run_guarded, work)
         loop.clock = self.reactor
         loop.start(interval)
         self.loops.append(loop)
 
     def run_guarded(self, work):
-        """Call *work*; a failure of it shows in the log and ends there.
+        """Call *work*, and log any exception that it raises.
 
-        It must end neither periodic work nor the receipt of messages.
+        An exception must stop neither periodic work nor the processing of
+        messages.
         """
         try:
             work()
-        except Exception:  # noqa: BLE001 - all are written to the log
+        except Exception:  # noqa: BLE001 - all are logged
             self.timeline.note(
                 EventKind.UNEXPECTED, error=Failure().getTraceback()
             )
 
     def on_heartbeat_interval(self):
-        """Do the work of a heartbeat interval."""
+        """Do the work of one heartbeat interval."""
         self.members.own.up_seconds = self.reactor.seconds() - self.started_at
         self.store_sync.tick()
         self.views.tick()
@@ -389,7 +390,7 @@
         self.membership.send_heartbeats()
 
     def gauges(self):
-        """Return the values of this moment, by name."""
+        """Return the current values of the gauges, by name."""
         now = self.reactor.seconds()
         return {
             "requests_in_progress": len(self.callers.exchanges),
@@ -414,16 +415,16 @@
         }
 
     def is_ready(self):
-        """Whether this host takes requests."""
+        """Return whether this host accepts requests."""
         return bool(self.keeper.current) and not self.members.own.leaving
 
     def hosts_for(self, name, region, data_centre):
         """Return the addresses that callers of a region should use.
 
-        A request body must not go to a region that is neither the
-        caller's nor a home of its route. So hosts of the caller's region
-        are named; without one, those of the homes of the name's routes;
-        and then hosts that leave but still serve.
+        A request body must not reach a region that is neither the caller's nor
+        a home region of its route. The result is therefore the hosts of the
+        caller's region; failing these, the hosts of the home regions of the
+        name's routes; failing these, hosts that are leaving but still serve.
 
         Args:
             name: Host name that the caller wants to reach.
@@ -445,7 +446,7 @@
         return []
 
     def home_regions_of(self, name):
-        """Return the regions that are a home of all bound routes."""
+        """Return the regions that are a home of all region-bound routes."""
         if not self.keeper.current:
             return frozenset()
         bound = [
@@ -456,11 +457,11 @@
         return frozenset.intersection(*bound) if bound else frozenset()
 
     async def stop(self):
-        """Stop gracefully: no request in progress is cut.
+        """Stop gracefully, without aborting requests in progress.
 
-        At once the host counts as leaving; it goes on serving those who
-        still hold its address, then refuses what is new and ends as soon
-        as nothing is in progress, so that its successor starts early.
+        The host is reported as leaving at once. It keeps serving callers that
+        still have its address, then refuses new requests and ends as soon as
+        none is in progress, so that its successor can start early.
         """
         if self.members.own.leaving:
             return
@@ -485,7 +486,7 @@
         self.lines.flush()
 
     def is_busy(self):
-        """Whether something is in progress, or nobody could take over."""
+        """Return whether requests are in progress or no host can take over."""
         if self.callers.exchanges or self.relay.relayed:
             return True
         if self.callers.starting.waiting or self.callers.doubted.waiting:
@@ -509,9 +510,9 @@
         return task.deferLater(self.reactor, seconds)
 
     def reload(self):
-        """Note that the settings file has changed.
+        """Log that the settings file has changed.
 
-        All that is read from it is fixed for the life of a process.
+        All settings read from it are fixed for the lifetime of a process.
         """
         self.timeline.note(EventKind.RELOADED)
 
@@ -532,21 +533,21 @@
 
 
 def boot_seconds():
-    """Return the seconds of the clock that counts suspension."""
+    """Return the seconds of a clock that also counts suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def write_standard_output(data):
-    """Write log lines; return the bytes that were taken."""
+    """Write log lines; return the number of bytes written."""
     return os.write(sys.stdout.fileno(), data)
 
 
 def run(settings, metrics_port=0):
-    """Run an entry process until it is told to stop."""
+    """Run an entry process until it receives a stop signal."""
     from twisted.internet import reactor
 
     os.set_blocking(sys.stdout.fileno(), False)
-    # A step of the time of day must not move any timer.
+    # A step of the wall clock must not affect any timer.
     reactor.seconds = time.monotonic
     process = EntryProcess(
         settings,
@@ -581,21 +582,23 @@
     "path",
     default=lambda: os.environ.get(PATH_VARIABLE, ""),
     metavar="FILE",
-    help=f"Settings file of the platform; else ${PATH_VARIABLE}.",
+    help=f"Platform settings file; defaults to ${PATH_VARIABLE}.",
 )
 @click.option(
     "--metrics",
     "metrics_port",
     default=0,
-    help="Port of the metrics page; 0 for none.",
+    help="Port of the metrics page; 0 disables it.",
 )
 @click.option(
     "--without",
     default="",
     metavar="NAME,...",
-    help="Mechanisms of the policy to switch off, to measure their worth.",
+    help="Policy mechanisms to disable, to measure their effect.",
+)
+@click.option(
+    "--check", is_flag=True, help="Check the settings file and exit."
 )
-@click.option("--check", is_flag=True, help="Check the file and stop.")
 @click.version_option(package_name="hyssopspring")
 def main(path, metrics_port, without, check):
     """Run an entry process on the users' platform."""
@@ -607,7 +610,7 @@
         click.echo(str(problem), err=True)
         sys.exit(EXIT_BAD_SETTINGS)
     if check:
-        click.echo(f"{path}: in order")
+        click.echo(f"{path}: settings are valid")
         return
     run(settings, metrics_port)
 
--- a/src/hyssopspring/entry/provenance.py
+++ b/src/hyssopspring/entry/provenance.py
@@ -1,4 +1,4 @@
-"""Where the configuration in force came from, for log lines."""
+"""The origin of the configuration in force, for log lines."""
 
 import enum
 from dataclasses import dataclass
@@ -9,11 +9,11 @@
 
 STORE = "store"
 NEVER_AGE_SECONDS = 1e6
-"""Age in seconds that stands for "never" on a line."""
+"""Age that represents "never" in a log line."""
 
 
 class Channel(enum.Enum):
-    """How a change of the store reached this host."""
+    """The channel by which a change of the store reached this host."""
 
     WATCH = "watch"
     LISTING = "listing"
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Who told this host of a change, and how.
+    """The host that a change was received from, and the channel.
 
     Attributes:
         channel: The `Channel`.
-        host: Name or address of the host that told, or ``store``.
+        host: Name or address of the sending host, or ``store``.
     """
 
     channel: Channel
@@ -36,7 +36,7 @@
 
 
 class Provenance:
-    """Tell how the configuration in force came here, and how old it is.
+    """Record the origin and the age of the configuration in force.
 
     Args:
         keeper: The `ConfigurationKeeper`.
@@ -53,7 +53,7 @@
         self.applied_at = NOTHING
 
     def record_applied(self, origin, revision):
-        """Note that a configuration has come into force.
+        """Record that a configuration has come into force.
 
         Args:
             origin: Its `Origin`, or `NOTHING` if unknown.
@@ -64,7 +64,7 @@
         self.applied_at = self.clock.seconds()
 
     def details(self):
-        """Return what lines of a request tell of the configuration."""
+        """Return the fields about the configuration for log lines."""
         if self.applied_at is NOTHING:
             return {"version": 0}
         origin = self.origin or Origin(Channel.LISTING, "")
--- a/src/hyssopspring/entry/remotehosts.py
+++ b/src/hyssopspring/entry/remotehosts.py
@@ -1,4 +1,4 @@
-"""Hosts of other regions, and connections that are ready to them."""
+"""Choice of hosts of other regions, and spare connections to them."""
 
 from ..core.sentinels import NOTHING
 from .connections import Lane
@@ -6,22 +6,22 @@
 __all__ = ["RemoteHosts"]
 
 PEER_IDLE_SECONDS = 12.0
-"""Seconds for which an idle connection to another host is kept; the other
-side closes it after 30 s."""
+"""Time for which an idle connection to another host is kept. The other side
+closes it after 30 s."""
 
 SPARE_CONNECTIONS = 2
 """Idle connections to a region that a host keeps while it sends requests
-there. One host sends a few a second at a peak, and a new connection is
-open within 0.2 s."""
+there. At a peak one host sends a few requests a second, and a new connection
+is open within 0.2 s."""
 
 
 class RemoteHosts:
-    """Choose hosts of other regions by the connections to them.
+    """Choose hosts of other regions by the open connections to them.
 
-    A new connection to another region costs a round trip of 160 ms before
-    the request can leave. Chosen at random among dozens of hosts, nearly
-    each request would pay it: of 3,400 reviews that were sent away one in
-    five missed its objective of 0.8 s by it.
+    A new connection to another region costs a round trip of 160 ms before the
+    request can be sent. If a host were drawn at random among dozens, almost
+    every request would pay this cost: of 3,400 reviews that were sent to
+    another region, one in five missed its objective of 0.8 s because of it.
 
     Args:
         members: The `Members`.
@@ -41,7 +41,7 @@
 
         Args:
             region: The region.
-            tried: Names of hosts that have failed the request already.
+            tried: Names of hosts at which the request has already failed.
 
         Returns:
             A `Member`, or `NOTHING`.
@@ -63,7 +63,7 @@
         return chosen
 
     def choose_weighted(self, hosts):
-        """Return one of *hosts*, by what each can carry."""
+        """Return a random one of *hosts*, weighted by capacity."""
         weights = [member.capacity for member in hosts]
         return self.rng.choices(hosts, weights)[0]
 
--- a/src/hyssopspring/entry/replication.py
+++ b/src/hyssopspring/entry/replication.py
@@ -1,4 +1,4 @@
-"""Copies of the store that hosts of a region pass on to each other."""
+"""Replication of store changes and snapshots between hosts of a region."""
 
 import zlib
 
@@ -20,21 +20,22 @@
 __all__ = ["Replication", "Snapshot", "split_rows"]
 
 BATCH_BYTES = 6_000
-"""Bytes of items that are passed on in one datagram."""
+"""Size of the items in one change datagram."""
 
 COMPRESSION_LEVEL = 1
-"""Level of compression of a copy. One of 80 routes and 51 servers shrinks
-from 36 KB to 3 KB, and the smallest hosts have links of 5 Mbit a second."""
+"""zlib level for snapshots. At this level a snapshot of 80 routes and 51
+servers shrinks from 36 KB to 3 KB; the smallest hosts have links of 5
+Mbit/s."""
 
 PEER_TIMEOUT_SECONDS = 1.5
-"""Seconds for another host's copy of the store, over its link."""
+"""Timeout for reading another host's snapshot over its link."""
 
 PEER_READ_PAUSE_SECONDS = 0.3
-"""Seconds between two reads of other hosts' copies. It is also the time
-that this host's own watch gets to bring what a neighbour has already."""
+"""Pause between two reads of other hosts' snapshots. It is also the time in
+which this host's own watch may deliver what a neighbour already has."""
 
 MAX_NEIGHBOURS_READ = 2
-"""Hosts of its region, besides seeds, that a starting host asks."""
+"""Hosts of its region, besides seeds, that a starting host reads from."""
 
 PEER_IDLE_SECONDS = 6.0
 
@@ -43,9 +44,9 @@
     """A host's copy of the store.
 
     Attributes:
-        revisions: Newest revision that it reflects, of what operators
-            wrote and of the servers.
-        operator: Items that operators have written.
+        revisions: Newest revisions that it reflects, of the operators' keys
+            and of the servers' keys.
+        operator: Items written by operators.
         servers: Entries of backend servers.
         hosts: Entries of hosts.
     """
@@ -61,16 +62,17 @@
 
 
 class Replication:
-    """Pass changes on, and read another host's copy when some are missed.
+    """Broadcast changes, and read a peer's snapshot when some were missed.
 
     Args:
         state: The `EntryState`.
-        mirrors: `Mirror` of what operators wrote and of the servers, by
+        mirrors: `Mirror` of the operators' keys and of the servers' keys, by
             prefix and in this order.
-        on_host_written: Called with the `Entry` of a host in a copy.
+        on_host_written: Called with the `Entry` of a host in a snapshot.
         broadcast: Called with a `StoreChange` for the hosts of the region.
         spawn: Called with a coroutine to run.
-        on_peer_unreadable: Called when a host that has more could not be read.
+        on_peer_unreadable: Called when the snapshot of a host that is ahead
+            could not be read.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
         self.newest_reported_at = 0.0
 
     def broadcast_changes(self, prefix, changes, outage):
-        """Tell the hosts of the region what a watch has brought."""
+        """Broadcast changes from a watch to the hosts of the region."""
         rows = [
             StoredItem(entry.key, entry.value, entry.revision)
             for entry in changes.entries
@@ -113,9 +115,9 @@
     def make_change(self, prefix, previous, batch, outage):
         """Return the `StoreChange` of a batch.
 
-        An item that is too large for a datagram is left out. The message
-        then names its revision as the one before, so that whoever gets it
-        knows that it lacks something, and reads a copy.
+        An item that is too large for a datagram is left out. The message then
+        names the item's revision as the previous one, so that a receiver
+        detects the gap and reads a snapshot.
         """
         if sum(map(row_size, batch)) > BATCH_BYTES:
             previous, batch = batch[-1].revision, []
@@ -132,20 +134,21 @@
     def revisions(self):
         """Newest revisions that this host has seen, by prefix.
 
-        They are kept apart, as the watches bring their changes in any
-        order: a later change of a server would hide that an earlier one
-        of the configuration was lost.
+        They are kept separately because watches deliver their changes in any
+        order: with a single revision, a later change of a server would hide
+        the loss of an earlier change of the configuration.
         """
         return tuple(
             mirror.newest_revision for mirror in self.mirrors.values()
         )
 
     def apply_change(self, message):
-        """Take over what another host's watch has brought.
+        """Apply changes that another host's watch has received.
 
-        A datagram may be lost. Then the next one follows on a revision
-        that this host has not seen, and a whole copy is read instead.
-        Until it has come, the host goes on to name its old revision.
+        A datagram may be lost. The next one then names a previous revision
+        that this host has not seen, and the host reads a whole snapshot
+        instead. Until the snapshot arrives, it keeps reporting its old
+        revision.
         """
         mirror = self.mirrors.get(message.prefix)
         if mirror is None:
@@ -170,7 +173,7 @@
             self.spawn(self.read_host(member.relay))
 
     def snapshot(self):
-        """Return the bytes of this host's copy of the store."""
+        """Return this host's copy of the store, encoded and compressed."""
         own = self.state.members.own
         hosts = [
             StoredItem(
@@ -186,7 +189,7 @@
         return zlib.compress(_ENCODER.encode(copy), COMPRESSION_LEVEL)
 
     def record_behind(self, member):
-        """Put it on the time line, once for each version that is newer."""
+        """Log that this host is behind a peer, once for each newer version."""
         newer = max(self.newest_reported_version, self.state.keeper.version)
         if member.version <= newer:
             return
@@ -201,11 +204,11 @@
         )
 
     def is_behind(self, since, seconds):
-        """Whether a watch does not bring what another host has.
+        """Return whether a watch fails to deliver what another host has.
 
         Args:
-            since: Time since when the watch waits.
-            seconds: Seconds that it has to bring it.
+            since: Time at which the watch call started.
+            seconds: Time within which the watch must deliver it.
         """
         if self.newest_reported_version <= self.state.keeper.version:
             return False
@@ -213,10 +216,10 @@
         return since <= due_at <= self.state.clock.seconds()
 
     def on_peer_ahead(self, member):
-        """Read a neighbour's copy if this host's stays behind it.
+        """Read a neighbour's snapshot if this host stays behind it.
 
-        A watch that fell silent, or a store that turns this host away,
-        would leave it with an old configuration.
+        Otherwise a host whose watch has died, or whose calls the store
+        rejects, would keep an old configuration.
         """
         self.record_behind(member)
         now = self.state.clock.seconds()
@@ -232,10 +235,10 @@
         self.spawn(self.read_host(member.relay))
 
     async def start(self):
-        """Read other hosts' copies of the store, for a start without it.
+        """Read other hosts' snapshots, to start without the store.
 
-        A seed may be behind, so what it has is not put in force before
-        hosts of this region that it knows have been asked too.
+        A seed may be behind, so its snapshot is applied only after hosts of
+        this region that the seed lists have been read too.
         """
         own = self.state.settings
         seeds = [one for one in own.seeds if one != own.control]
@@ -253,7 +256,7 @@
             self.apply_snapshot(snapshot, address)
 
     async def fetch_copies(self, addresses):
-        """Return address and `Snapshot` of each host that answers."""
+        """Return address and `Snapshot` of each host that responds."""
         found = await defer.gatherResults(
             [
                 defer.ensureDeferred(self.fetch_copy(address))
@@ -264,7 +267,7 @@
         return [pair for pair in pairs if pair[1] is not NOTHING]
 
     async def read_host(self, address):
-        """Take over another host's copy of the store."""
+        """Read and apply another host's snapshot."""
         try:
             snapshot = await self.fetch_copy(address)
         finally:
@@ -277,7 +280,7 @@
     async def fetch_copy(self, address):
         """Return the `Snapshot` of another host, or `NOTHING`.
 
-        The hosts that it knows are learned at once.
+        The hosts listed in it are recorded at once.
         """
         lane = Lane(f"state {address}", address, True, PEER_IDLE_SECONDS)
         try:
@@ -292,7 +295,7 @@
                 clock=self.state.clock,
             )
             if status != 200:
-                raise NoAnswerError(f"status {status}")
+                raise NoAnswerError(f"snapshot response has status {status}")
             snapshot = _SNAPSHOT.decode(zlib.decompress(data))
         except (NoAnswerError, msgspec.DecodeError, zlib.error) as problem:
             self.state.timeline.note(
@@ -305,7 +308,7 @@
         return snapshot
 
     def apply_snapshot(self, snapshot, address):
-        """Take over what is newer in another host's copy."""
+        """Apply the parts of another host's snapshot that are newer."""
         origin = Origin(Channel.COPY, address)
         rows = (snapshot.operator, snapshot.servers)
         for mirror, revision, items_ in zip(
@@ -316,14 +319,14 @@
 
 
 def row_size(row):
-    """Return the bytes that an item takes in a datagram."""
+    """Return the size in bytes of an item in a datagram."""
     return len(row.key) + len(getattr(row, "value", b""))
 
 
 def split_rows(rows):
     """Yield lists of rows that each fit into a datagram.
 
-    A row that is too large for one stands alone.
+    A row that is too large for a datagram forms a list of its own.
     """
     batch, size = [], 0
     for row in rows:
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of hosts that they do not hear themselves."""
+"""Rosters: reports about hosts that the receiver has no contact with."""
 
 import enum
 import math
@@ -12,20 +12,20 @@
 
 TENTHS_PER_SECOND = 10
 MAX_AGE_TENTHS = 255
-"""Ages are told in tenths of a second, up to this one; a host that was not
-heard for that long counts as gone."""
+"""Ages are reported in tenths of a second, up to this one; a host without a
+message for that long counts as gone."""
 
 GONE_REPORT_SECONDS = 10.0
-"""Seconds for which a host that fell silent is named as gone, in several
-rosters; also the age that its last word is then taken to have."""
+"""Time for which a host that timed out is reported as gone, in several
+rosters. A receiver also sets the age of its last message to this value."""
 
 MAX_RECORDS_REQUESTED = 40
-"""Hosts that are asked for at once; the answer is a datagram of 6 KB. The
-rest are asked for with the next roster."""
+"""Hosts whose entries are requested at once; the response is a datagram of 6
+KB. The rest are requested with the next roster."""
 
 
 class HostState(enum.IntFlag):
-    """What a roster tells of a host besides that it lives."""
+    """State of a host in a roster, apart from being up."""
 
     LEAVING = 1
     OUT_OF_CONTACT = 2
@@ -35,10 +35,11 @@
 
 
 class Rosters:
-    """Write rosters of hosts, and take over those of others.
+    """Write rosters of hosts, and apply those of other hosts.
 
-    A host hears only the few hosts that it reports to. These hear all that
-    report to them and pass on, in eight bytes a host, who lives.
+    A host exchanges heartbeats only with the few hosts that it reports to.
+    These receive heartbeats from all hosts that report to them, and report in
+    eight bytes a host which hosts are up.
 
     Args:
         members: The `Members`.
@@ -54,8 +55,9 @@
     def roster(self, region, now):
         """Return the `Roster` of the hosts of *region*.
 
-        Those that fell silent of late are named as gone: this host heard
-        them itself, so it knows sooner than who is told of them.
+        Hosts that timed out recently are reported as gone: this host exchanged
+        heartbeats with them itself, so it detects the loss sooner than a host
+        that receives rosters only.
         """
         members = self.members
         rows = [
@@ -74,7 +76,7 @@
         return Roster(self.members.own.name, [make_row(member, now)])
 
     def handle_roster(self, message):
-        """Take over a roster, and ask for the hosts that are not known."""
+        """Apply a roster, and request the entries of unknown hosts."""
         now = self.clock.seconds()
         unknown = []
         for row in message.rows:
@@ -91,7 +93,7 @@
             self.datagrams.send(ask, sender.control)
 
     def handle_records_request(self, message):
-        """Answer who hosts are."""
+        """Send the entries of the requested hosts."""
         asker = self.members.others.get(message.host)
         if asker is None:
             return
@@ -105,28 +107,28 @@
         self.datagrams.send(Records(entries), asker.control)
 
     def handle_records(self, message):
-        """Learn who hosts are."""
+        """Record the entries of hosts."""
         now = self.clock.seconds()
         for entry in message.hosts:
             self.members.learn(member_of(entry), spoke_at=now)
 
 
 def is_reportable(member, now):
-    """Whether a host was heard of lately enough to tell of it."""
+    """Return whether a host was up recently enough to be reported."""
     last = member.last_word_at
     return last is not NOTHING and now - last < GONE_REPORT_SECONDS
 
 
 def make_row(member, now, *, gone=False):
-    """Return the `RosterRow` of a host that was heard or told of."""
+    """Return the `RosterRow` of a host."""
     state = encode_state(member) | (HostState.GONE if gone else 0)
     return RosterRow(member.id, age_tenths(member, now), int(state))
 
 
 def apply_row(member, row, now):
-    """Take over what a roster says of a host.
+    """Apply a row of a roster to a host.
 
-    What the host itself has said of late is newer.
+    A recent message from the host itself takes precedence.
     """
     heard = now - row.age_tenths / TENTHS_PER_SECOND
     if HostState.GONE in HostState(row.state):
@@ -146,13 +148,13 @@
 
 
 def mark_gone(member, heard):
-    """Take a host for gone of which nothing was heard since *heard*."""
+    """Treat a host as gone that nothing was received from since *heard*."""
     if member.told_at is not NOTHING:
         member.told_at = min(member.told_at, heard - GONE_REPORT_SECONDS)
 
 
 def encode_state(member):
-    """Return the `HostState` of a host."""
+    """Return the `HostState` of a host as an integer."""
     states = (
         (HostState.LEAVING, member.leaving),
         (HostState.OUT_OF_CONTACT, member.contact_age > CONTACT_AGE),
@@ -167,10 +169,10 @@
 
 
 def age_tenths(member, now):
-    """Return the tenths of a second since a host was heard, rounded up.
+    """Return the age of a host's last message in tenths, rounded up.
 
-    Rounded down, the word of a host that is gone would grow younger with
-    each host that passes it on.
+    If it were rounded down, the last message of a host that is gone would seem
+    newer with each host that passes its age on.
     """
     age = math.ceil((now - member.last_word_at) * TENTHS_PER_SECOND)
     return min(MAX_AGE_TENTHS, max(0, age))
--- a/src/hyssopspring/entry/settings.py
+++ b/src/hyssopspring/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry process, whatever file they come from."""
+"""Settings of an entry process, independent of their file format."""
 
 from dataclasses import dataclass, field
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntrySettings:
-    """What an entry process must know at its start.
+    """Settings that an entry process needs at its start.
 
     Attributes:
         host: Name of the host.
@@ -21,25 +21,27 @@
         front: Address for callers, as ``ip:port``.
         ready: Address of the readiness page.
         directory: Address of the directory page.
-        control: Address of the page for hosts that know no other, or "".
+        control: Address at which hosts that know no other host read a
+            snapshot, or "".
         ports: First and last port for traffic between hosts.
         seeds: Control addresses of hosts that may be up.
         store: Address of the platform's store.
-        capacity: Share of a core, to weigh what the host can carry.
-        retry_ratio: Repeats allowed for each request.
-        retry_extra: Repeats allowed besides, over all hosts.
-        retry_window: Seconds over which repeats are counted.
-        cold_factor: Factor on the rate of a cold server.
-        cold_extra: Requests allowed besides in a second.
-        stop_seconds: Seconds from the signal to stop to the end.
-        revocation: Seconds in which a key that was taken away must be
-            refused by all hosts, or `NOTHING` if there is no bound.
-        apply_seconds: Seconds in which a change must be in force.
-        limit_overage: Part by which limits may be exceeded over all hosts.
-        limit_slack: Tokens by which they may be exceeded besides.
-        limit_window: Seconds over which that is counted.
-        least_lease: Shortest lease that the store gives, in seconds.
-        off: Each `Mechanism` that is switched off, for measurements.
+        capacity: Share of a core, as the weight of the host.
+        retry_ratio: Retries allowed per request.
+        retry_extra: Retries allowed in addition, over all hosts.
+        retry_window: Seconds over which retries are counted.
+        cold_factor: Factor on the rate limit of a cold server.
+        cold_extra: Requests per second allowed in addition at a cold server.
+        stop_seconds: Seconds from the stop signal to the end of the process.
+        revocation: Seconds within which all hosts must refuse a revoked key,
+            or `NOTHING` if there is no limit.
+        apply_seconds: Seconds within which a change must be in force.
+        limit_overage: Fraction by which limits may be exceeded over all hosts.
+        limit_slack: Tokens by which limits may be exceeded in addition.
+        limit_window: Seconds over which the excess is counted.
+        min_lease_seconds: Shortest lease that the store grants, in seconds.
+        disabled_mechanisms: Each `Mechanism` that is switched off, for
+            measurements.
     """
 
     host: str
@@ -71,10 +73,10 @@
 
 
 def check_settings(settings):
-    """Check what would only show later, under traffic.
+    """Reject values that would otherwise fail later, under traffic.
 
     Raises:
-        SettingsError: A value is out of range; the text names it.
+        SettingsError: A value is out of range; the message names it.
     """
     first, last = settings.ports
     if not 0 < first < last <= 65535:
--- a/src/hyssopspring/entry/state.py
+++ b/src/hyssopspring/entry/state.py
@@ -1,4 +1,4 @@
-"""What the parts of an entry process share."""
+"""State shared by the parts of an entry process."""
 
 from dataclasses import dataclass
 
@@ -16,21 +16,21 @@
         clock: The runtime's clock.
         timeline: The `Timeline`.
         rng: Random number generator.
-        keeper: `ConfigurationKeeper`.
-        registry: `Registry` of backend servers.
-        members: `Members`.
-        asking: `Asking`.
-        connections: `Connections`.
-        remote_hosts: `RemoteHosts` of other regions.
-        contact: `StoreContact` with the store.
-        view: `ConfirmedView` of the configuration.
-        provenance: `Provenance` of the configuration in force.
-        retries: `RetryWindow`.
-        crash_detector: `Endings` of backend servers.
-        sharing: `CrashSharing` of requests under which servers ended.
-        notices: `Notices` that servers give in their answers.
+        keeper: The `ConfigurationKeeper`.
+        registry: The `Registry` of backend servers.
+        members: The `Members`.
+        asking: The `Asking`.
+        connections: The `Connections`.
+        remote_hosts: The `RemoteHosts`.
+        contact: The `StoreContact`.
+        view: The `ConfirmedView` of the configuration.
+        provenance: The `Provenance` of the configuration in force.
+        retries: The `RetryWindow`.
+        crash_detector: The `Endings` of backend servers.
+        sharing: The `CrashSharing` of requests that crash servers.
+        notices: The `Notices` that servers send in their responses.
         codec: Reads and writes the headers of callers and servers.
-        stopping_since: Time of the signal to stop, or `NOTHING`.
+        stopping_since: Time of the stop signal, or `NOTHING`.
     """
 
     settings: object
@@ -55,7 +55,7 @@
 
     @property
     def stopping_for(self):
-        """Seconds since the signal to stop, or 0."""
+        """Seconds since the stop signal, or 0."""
         if self.stopping_since is NOTHING:
             return 0.0
         return self.clock.seconds() - self.stopping_since
--- a/src/hyssopspring/entry/storesync.py
+++ b/src/hyssopspring/entry/storesync.py
@@ -1,4 +1,4 @@
-"""Keep configuration, servers and hosts current from the store."""
+"""Keep configuration, servers and hosts in sync with the store."""
 
 from twisted.internet import defer
 
@@ -20,49 +20,49 @@
 __all__ = ["StoreSync"]
 
 LEASE_SECONDS = 9.0
-"""Seconds after which the store forgets a host that is gone."""
+"""Lease on a host's entry, after which the store drops a host that is gone."""
 
 RENEW_INTERVAL_SECONDS = 2.5
-"""Seconds between renewals of a host's entry in the store."""
+"""Interval between renewals of a host's entry in the store."""
 
 PROBE_INTERVAL_SECONDS = 0.9
-"""Seconds between two probes of the watches of the first host of a region,
-each watch in turn. A connection can pass nothing and stay open, and a watch
-without an answer looks like a store without changes."""
+"""Interval between two probes of the watches of the first host of a region;
+each watch is probed in turn. A connection can stay open without passing any
+data, and a watch without an answer looks like a store without changes."""
 
 WATCHING_HOSTS = 2
-"""Hosts of a region that watch the store and pass on what changes. Each
-call is paid for, so calls must not grow with hosts times servers; the
-second bridges the loss of the first."""
+"""Hosts of a region that watch the store and broadcast changes. Each call is
+billed, so the number of calls must not grow with hosts times servers; the
+second host covers the loss of the first."""
 
 STOP_WATCHING_SECONDS = 1.5
-"""Seconds for which a host must rank behind the watching ones before it
-ends its own watches; ranks change for moments when hosts start."""
+"""Time for which a host must rank behind the watching ones before it ends its
+own watches. Ranks change briefly when hosts start."""
 
 BEHIND_SECONDS = 0.5
-"""Seconds for which another host may have a newer configuration before the
-watch here is begun anew; a change reaches all regions within 0.4 s."""
+"""Time for which another host may report a newer configuration before the
+watch of this host is restarted. A change reaches all regions within 0.4 s."""
 
 FAILING_CONTACT_AGE_SECONDS = 10.0
-"""Age of contact, in seconds, that a host tells while its calls fail, so
-that others rank before it at once."""
+"""Contact age that a host reports while its calls fail, so that other hosts
+rank before it at once."""
 
 
 class StoreSync:
-    """Follow the store, and other hosts while it cannot be read.
+    """Synchronise with the store, or with other hosts while it is down.
 
     Args:
         state: The `EntryState`.
         store: The client of the store.
-        layout: Prefixes and decoders of what others write there; offers
-            ``OPERATOR_PREFIX``, ``SERVERS_PREFIX``, ``CONFIGURATION_KEY``,
-            ``decode_configuration``, ``evacuated_data_centre``,
-            ``decode_server`` and ``server_id``.
+        layout: Prefixes and decoders of the keys that other programs write;
+            offers ``OPERATOR_PREFIX``, ``SERVERS_PREFIX``,
+            ``CONFIGURATION_KEY``, ``decode_configuration``,
+            ``evacuated_data_centre``, ``decode_server`` and ``server_id``.
         on_applied: Called when the configuration has changed.
         on_hosts_read: Called when the hosts in the store were read.
         broadcast: Called with a `StoreChange` for the hosts of the region.
-        on_crash_found: Called with the `Entry` of a request under which
-            servers ended.
+        on_crash_found: Called with the `Entry` of a request that crashes
+            servers.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
 
     @property
     def watch_age(self):
-        """Seconds since the oldest watch had an answer; 0 without one."""
+        """Seconds since the last answer of the oldest watch, or 0."""
         now = self.state.clock.seconds()
         heard = [
             one.last_reply_at for one in self.watchers if one.last_reply_at
@@ -132,10 +132,10 @@
         )
 
     def before_listing(self, prefix):
-        """Return what is to be called when a listing has been taken over.
+        """Return the callable to call once a listing has been applied.
 
-        A listing of what operators wrote confirms the view as of now, when
-        it is asked for.
+        A listing of the operators' keys confirms the view as of the time at
+        which it is requested, which is now.
         """
         view = self.state.view
         if prefix != self.layout.OPERATOR_PREFIX:
@@ -144,21 +144,24 @@
         return lambda: view.confirm(asked_at)
 
     def read_configuration(self):
-        """Read what operators wrote, beside the watch."""
+        """Read the operators' keys, in addition to the watch."""
         self.read_prefixes([self.layout.OPERATOR_PREFIX])
 
     def read_store(self):
-        """Read all beside the watches, as neighbours cannot be read."""
+        """Read all prefixes in addition to the watches.
+
+        This is the fallback when neighbours cannot be read.
+        """
         self.read_prefixes(list(self.mirrors))
 
     def read_prefixes(self, prefixes):
-        """Read what stands below some prefixes, once at a time."""
+        """List some prefixes unless such a read is already in progress."""
         if not self.reading:
             self.reading = True
             self.spawn(self.list_prefixes(prefixes))
 
     async def list_prefixes(self, prefixes):
-        """List each of some prefixes; the first failure ends it."""
+        """List some prefixes in turn, and stop at the first failure."""
         try:
             for prefix in prefixes:
                 listed = self.before_listing(prefix)
@@ -172,7 +175,7 @@
             self.reading = False
 
     def apply_extra_listing(self, prefix, listing):
-        """Take over a listing that was read beside the watch."""
+        """Apply a listing that was read in addition to the watch."""
         mirror = self.mirrors[prefix]
         changes = mirror.difference(listing)
         if changes.entries or changes.removals:
@@ -182,11 +185,11 @@
             watcher.record_listing(prefix)
 
     def broadcast_changes(self, prefix, changes, outage):
-        """Tell the hosts of the region what a watch has brought.
+        """Broadcast changes from a watch to the hosts of the region.
 
-        Right after its start each host watches for itself. If all told
-        all others then, a region of 27 hosts would exchange 4,000 copies
-        of the first changes, of 8 KB each.
+        Right after its start each host watches by itself. If all of them
+        broadcast then, a region of 27 hosts would exchange 4,000 copies of the
+        first changes, of 8 KB each.
         """
         now = self.state.clock.seconds()
         own = self.state.members.own
@@ -195,13 +198,13 @@
             self.replication.broadcast_changes(prefix, changes, outage)
 
     def start(self):
-        """Begin to follow."""
+        """Start the watches, and read the snapshots of other hosts."""
         self.last_required_at = self.state.clock.seconds()
         self.start_watching()
         self.spawn(self.replication.start())
 
     def start_watching(self):
-        """Read all of the store, and watch it."""
+        """Start a watcher for each prefix, which lists and then watches it."""
         self.state.timeline.note(EventKind.WATCHING)
         self.watchers = [
             self.make_watcher(prefix, mirror)
@@ -211,13 +214,13 @@
             watcher.start().addErrback(self.log_failure)
 
     def stop(self):
-        """End following."""
+        """Stop all watchers."""
         for watcher in self.watchers:
             watcher.stop()
         self.watchers = []
 
     def choose_watching(self, now):
-        """Watch the store if this host is one of those that must."""
+        """Start or stop watching, depending on the rank of this host."""
         ranked = self.state.members.placers(now)[:WATCHING_HOSTS]
         if self.state.members.own in ranked:
             self.last_required_at = now
@@ -233,11 +236,11 @@
             )
 
     def check_watches(self, now):
-        """Find watches that are dead.
+        """Detect and restart dead watches.
 
-        The first host of a region asks a replica of the store for what
-        they may lack. The second hears of a change from the first, and
-        sees by it whether its own watch lives.
+        The first host of a region asks a replica of the store for changes that
+        its watches may lack. The second host receives each change from the
+        first, which shows whether its own watch is alive.
         """
         for watcher in self.watchers:
             watcher.check()
@@ -256,7 +259,7 @@
             self.spawn(self.probe(longest))
 
     def restart_lagging_watch(self, watcher):
-        """Begin a watch anew that does not bring what another host has."""
+        """Restart a watch that fails to deliver what another host has."""
         if watcher.prefix != self.layout.OPERATOR_PREFIX:
             return
         if not watcher.pending_watch:
@@ -267,7 +270,7 @@
             watcher.restart("another host has more")
 
     async def probe(self, watcher):
-        """Ask a replica of the store for what a watch may lack."""
+        """Ask a replica of the store for changes that a watch may lack."""
         try:
             changes = await self.store.probe(
                 watcher.prefix, watcher.after_revision
@@ -281,17 +284,17 @@
             self.probing = False
 
     def restart_older_watches(self, sent_at):
-        """Begin watches anew that are older than a call without answer."""
+        """Restart watches that are older than a call without an answer."""
         for watcher in self.watchers:
             if watcher.pending_watch and watcher.watch_started_at <= sent_at:
                 watcher.restart("no answer to a later call")
 
     def spawn(self, coroutine):
-        """Run a coroutine whose unexpected failure is logged."""
+        """Run a coroutine, and log its failure if it is unexpected."""
         defer.ensureDeferred(coroutine).addErrback(self.log_failure)
 
     def log_failure(self, failure):
-        """Write an unexpected failure to the log."""
+        """Log an unexpected failure."""
         if failure.check(defer.CancelledError):
             return
         self.state.timeline.note(
@@ -299,7 +302,7 @@
         )
 
     def on_operator_written(self, entry):
-        """Take over what an operator has written."""
+        """Apply a key that an operator has written."""
         if entry.key == self.layout.CONFIGURATION_KEY:
             self.apply_configuration(entry)
             return
@@ -309,14 +312,14 @@
             self.apply_evacuation()
 
     def on_operator_removed(self, key, outage):
-        """Take account of what an operator has removed."""
+        """Apply the removal of an operator's key."""
         place = self.layout.evacuated_data_centre(key)
         if place is not NOTHING:
             self.evacuated.discard(place)
             self.apply_evacuation()
 
     def apply_evacuation(self):
-        """Put the evacuated data centres in force."""
+        """Put the current set of evacuated data centres in force."""
         self.state.timeline.note(
             EventKind.EVACUATED, data_centres=sorted(self.evacuated)
         )
@@ -325,7 +328,7 @@
         )
 
     def cold_seconds(self, service):
-        """Return for how long the servers of a service start cold."""
+        """Return how long the servers of a service start cold, in seconds."""
         current = self.state.keeper.current
         if current is NOTHING:
             return 0.0
@@ -356,7 +359,7 @@
         self.on_applied()
 
     def on_server_written(self, entry):
-        """Take over the entry of a server."""
+        """Apply the entry of a server."""
         try:
             server = self.layout.decode_server(entry.key, entry.value)
         except ProtocolError as problem:
@@ -377,10 +380,10 @@
             self.record_server(EventKind.SERVER_COLD, server)
 
     def drop_unreadable(self, key, problem):
-        """Use no server whose entry cannot be read.
+        """Stop using a server whose entry cannot be decoded.
 
-        Someone else has written there, so the server that it named before
-        may be gone, and its address may be another's by now.
+        Another program has overwritten the entry, so the server that it named
+        before may be gone, and its address may be in use by another one.
         """
         self.state.timeline.note(
             EventKind.SERVER_UNREADABLE, key=key, why=problem
@@ -391,7 +394,7 @@
         self.state.connections.forget(server_id)
 
     def record_server(self, kind, server):
-        """Put a change of a server on the time line."""
+        """Log a change of a server."""
         self.state.timeline.note(
             kind,
             server=server.id,
@@ -401,7 +404,7 @@
         )
 
     def on_server_removed(self, key, outage):
-        """Take account of an entry that is gone."""
+        """Apply the removal of a server's entry."""
         server_id = self.layout.server_id(key)
         self.state.registry.remove(
             server_id, self.state.clock.seconds(), outage=outage
@@ -413,7 +416,7 @@
             self.state.connections.forget(server_id)
 
     def on_host_written(self, entry):
-        """Take over the entry of a host."""
+        """Record the entry of a host."""
         try:
             member = decode_host(entry.value)
         except ProtocolError as problem:
@@ -422,10 +425,10 @@
         self.state.members.learn(member)
 
     def on_host_removed(self, key, outage):
-        """Do nothing: heartbeats tell which hosts live."""
+        """Do nothing: heartbeats show which hosts are up."""
 
     async def read_own_prefix(self):
-        """Read what hosts have written to the store, in one call."""
+        """Read the keys that hosts have written to the store, in one call."""
         try:
             listing = await self.store.list(OWN_PREFIX)
         except KeyValueError as problem:
@@ -444,7 +447,7 @@
         self.on_hosts_read()
 
     def on_crash_written(self, entry):
-        """Take over a request under which servers ended."""
+        """Record a request that crashes servers."""
         try:
             self.on_crash_found(entry)
         except ProtocolError as problem:
@@ -469,7 +472,7 @@
             self.spawn(self.renew())
 
     def renewal_due(self, now):
-        """Whether it is time to renew this host's entry in the store."""
+        """Return whether this host's entry in the store is due for renewal."""
         if self.renewing:
             return False
         return (
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -1,8 +1,8 @@
-"""How surely this host's configuration is the newest one.
+"""Confirmation that this host's configuration is the newest one.
 
-A key that an operator has taken away must be refused everywhere within a
-bound, also by a host that was suspended or cut off and has not heard of it.
-So a host serves requests with a key only for as long as it knows that its
+A key that an operator has revoked must be refused everywhere within a time
+limit, also by a host that was suspended or cut off and has not received the
+revocation. A host therefore accepts keys only while it can prove that its
 configuration was the newest a short while ago.
 """
 
@@ -16,56 +16,59 @@
 __all__ = ["ConfirmedView", "ViewVerifier"]
 
 APPLY_SECONDS = 4.0
-"""Seconds in which a change must be in force, if settings name none."""
+"""Time limit for a change to be in force, unless the settings name one."""
 
 DENIAL_MARGIN_SECONDS = 1.0
 MIN_DENIAL_AGE_SECONDS = 0.5
-"""Seconds by which a view must be younger than that to deny a route or a
-key, as an answer takes its time; and its least age to do so."""
+"""Margin by which a view must be younger than that time limit to deny a route
+or a key, as a response takes time to arrive; and the lowest age limit for
+doing so."""
 
 CLOCK_MARGIN_SECONDS = 0.2
-"""Seconds before the bound at which keys are not believed any more, for
-clocks that do not run quite alike."""
+"""Margin before the time limit at which keys are no longer accepted, for
+clocks that run at slightly different rates."""
 
 FIRST_READ_AGE_SECONDS = 0.9
-"""Age of the view, in seconds, at which the first host of a region reads
-the configuration anew."""
+"""Age of the view at which the first host of a region reads the configuration
+again."""
 
 ASK_SECOND_AGE_SECONDS = 1.3
-"""Age of the view, in seconds, from which the second host is asked too."""
+"""Age of the view from which the second host is asked as well."""
 
 FALLBACK_READ_AGE_SECONDS = 2.2
-"""Age of the view, in seconds, from which a host that gets no answer of
-others reads the configuration itself. It is soon enough to serve on without
-a break if the first host is gone, and no call is made for a lost answer."""
+"""Age of the view from which a host that gets no responses from others reads
+the configuration itself. This is soon enough to serve without a gap if the
+first host is gone, and late enough that a single lost response causes no
+call."""
 
 VERIFY_INTERVAL_SECONDS = 0.2
-"""Seconds between two rounds of questions for a caller that waits."""
+"""Interval between two rounds of requests for a caller that waits."""
 
 VERIFY_BURST_SECONDS = 1.0
-"""Seconds between rounds after which a new doubt begins."""
+"""Time without a round of requests after which the next round starts a new
+verification."""
 
 REGION_READ_DELAY_SECONDS = 0.4
-"""Seconds by which the first host of a region waits longer to read the
-store than that of the region before it: a doubt often rises everywhere at
-once, and one reading serves all."""
+"""Time by which the first host of a region delays its read of the store
+relative to that of the previous region. A verification often starts in all
+regions at once, and one read serves them all."""
 
 MAX_READ_DELAY_SECONDS = 0.7
-"""Longest such wait, and that of hosts that are not first, in seconds."""
+"""Longest such delay, and the delay of hosts that are not the first one."""
 
 REFRESH_INTERVAL_SECONDS = 0.1
-"""Seconds between two rounds of questions of a host that refuses."""
+"""Interval between two rounds of requests of a host that refuses keys."""
 
 
 class ConfirmedView:
-    """The time at which this host's configuration was the newest for sure.
+    """The latest time at which the configuration was certainly the newest.
 
     Args:
-        clock: Callable that returns the seconds of a clock that also
-            counts while the host is suspended.
-        bound: Seconds in which a key that was taken away must be refused,
-            or `NOTHING` if there is no bound.
-        apply: Seconds in which a change must be in force.
+        clock: Callable that returns the seconds of a clock that also counts
+            while the host is suspended.
+        bound: Seconds within which a revoked key must be refused, or `NOTHING`
+            if there is no limit.
+        apply: Seconds within which a change must be in force.
     """
 
     def __init__(self, clock, bound, apply=APPLY_SECONDS):
@@ -81,45 +84,46 @@
         self.confirmed_at = NOTHING
 
     def confirm(self, at):
-        """Note that the configuration was the newest at the time *at*.
+        """Record that the configuration was the newest at the time *at*.
 
-        That is the time before the question, not that of the answer: an
-        answer may have lain in a buffer while the host was suspended.
+        That is the time before the request was sent, not the time of its
+        response: a response may have stayed in a buffer while the host was
+        suspended.
         """
         if self.confirmed_at is NOTHING or at > self.confirmed_at:
             self.confirmed_at = at
 
     @property
     def age(self):
-        """Seconds since the configuration was the newest for sure."""
+        """Seconds since the configuration was certainly the newest."""
         if self.confirmed_at is NOTHING:
             return math.inf
         return self.clock() - self.confirmed_at
 
     @property
     def is_fresh(self):
-        """Whether keys may be believed."""
+        """Whether keys may be accepted."""
         return self.max_age is NOTHING or self.age < self.max_age
 
     @property
     def can_deny(self):
-        """Whether what the configuration lacks may be taken not to exist.
+        """Whether anything that the configuration lacks may be denied.
 
-        What was added a moment ago need not be in force yet; what was
-        added before must not be denied.
+        A recent addition need not be in force yet, but an earlier addition
+        must not be denied.
         """
         return self.age < self.denial_max_age
 
 
 class ViewVerifier:
-    """Keep the view of this host confirmed, at few calls to the store.
+    """Keep the view of this host confirmed with few calls to the store.
 
-    The first host of a region reads the configuration each second. All
-    others ask it by datagram, twice a second; what they get bears the time
-    of their question, so a late answer is not taken for a fresh one. A host
-    that gets no answer reads by itself. Right after its start each takes
-    itself for the first, having heard nobody yet; its first listing of the
-    store confirms its view for longer than that.
+    The first host of a region reads the configuration each second. All others
+    ask it by datagram, twice a second. Each response carries the time of the
+    request, so a late response is not taken for a fresh one. A host that gets
+    no response reads the configuration itself. Right after its start no host
+    has received messages from others, and each would rank itself first; its
+    first listing of the store confirms its view for longer than that.
 
     Args:
         view: The `ConfirmedView`.
@@ -165,7 +169,7 @@
         return bool(current.workspaces)
 
     def tick(self):
-        """Have the view confirmed if it is time."""
+        """Have the view confirmed if it is due."""
         if not self.is_required:
             return
         self.record_state()
@@ -184,7 +188,7 @@
                 self.request_confirmation(member)
 
     def refresh(self):
-        """Have the view confirmed at once: a caller was just refused."""
+        """Have the view confirmed at once, after a caller was refused."""
         now = self.clock.seconds()
         if now - self.refreshed_at >= REFRESH_INTERVAL_SECONDS:
             self.refreshed_at = now
@@ -192,16 +196,16 @@
 
     @property
     def verifying_seconds(self):
-        """Seconds for which callers have been in doubt; 0 if none is."""
+        """Duration of the current verification for callers; 0 without one."""
         now = self.clock.seconds()
         if now - self.verified_at > VERIFY_BURST_SECONDS:
             return 0.0
         return now - self.verifying_since
 
     def verify(self):
-        """Have the view confirmed for a caller that waits; call often.
+        """Have the view confirmed for a caller that waits; call repeatedly.
 
-        Others may have a view that is young enough, and are asked first.
+        Other hosts may have a view that is young enough, and are asked first.
         """
         now = self.clock.seconds()
         if now - self.verified_at < VERIFY_INTERVAL_SECONDS:
@@ -220,7 +224,7 @@
             self.read()
 
     def read_delay(self, ranked, now):
-        """Return the seconds of doubt after which this host reads."""
+        """Return the delay after which this host reads the store itself."""
         if ranked[0] is not self.members.own:
             return MAX_READ_DELAY_SECONDS
         own = self.members.own.region
@@ -228,7 +232,7 @@
         return min(MAX_READ_DELAY_SECONDS, place * REGION_READ_DELAY_SECONDS)
 
     def record_state(self):
-        """Put it on the time line when keys are refused, or not any more."""
+        """Log when keys start or stop being refused."""
         expired = not self.view.is_fresh
         if expired == self.expired:
             return
@@ -240,7 +244,7 @@
         )
 
     def request_confirmation(self, member):
-        """Ask another host how sure it is of its configuration."""
+        """Ask another host for the age of its view."""
         if member is self.members.own:
             return
         stamp = math.floor(self.view.clock() * 1000)
@@ -248,7 +252,7 @@
         self.datagrams.send(question, member.control)
 
     def handle_request(self, message):
-        """Tell another host how sure this one is."""
+        """Send another host the age of this host's view."""
         member = self.members.others.get(message.host)
         if member is None or not self.view.is_fresh:
             return
@@ -262,10 +266,10 @@
             self.verify()
 
     def handle_response(self, message):
-        """Take over how sure another host is of the same configuration.
+        """Apply the age of another host's view of the same configuration.
 
-        One that has a newer one confirms nothing here: that one is read
-        from it first.
+        A host with a newer configuration confirms nothing here; this host
+        reads that configuration first.
         """
         if self.keeper.version >= message.version:
             self.view.confirm((message.stamp - message.age_ms) / 1000)
