--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -1,4 +1,4 @@
-"""Copies of the store, through outages and lost history."""
+"""Mirrors of the store, during outages and after lost history."""
 
 import random
 
@@ -22,14 +22,14 @@
 
 
 class Script:
-    """A store that answers as its script says."""
+    """A store that gives scripted answers."""
 
     def __init__(self, steps):
         self.steps = list(steps)
         self.calls = []
 
     def next(self, call):
-        """Return the next answer, or raise it."""
+        """Return the next scripted answer, or fail with it."""
         self.calls.append(call)
         if not self.steps:
             return defer.Deferred()
@@ -48,7 +48,7 @@
 
 
 class Recorder:
-    """Remember what a mirror tells."""
+    """Record the callbacks of a mirror."""
 
     def __init__(self):
         self.written = []
@@ -98,14 +98,20 @@
 
 
 def test_an_older_entry_does_not_overwrite_a_newer_one(recorder):
-    """A neighbour's copy brings back a value that was replaced."""
+    """Guards against a replaced value that comes back.
+
+    The snapshot of a neighbour still contains the older value.
+    """
     recorder.mirror.replace([Entry("a/1", b"new", 9)], 9)
     recorder.mirror.replace([Entry("a/1", b"old", 4)], 4)
     assert_that(recorder.written, Equals([b"new"]))
 
 
 def test_changes_are_taken_in_the_order_of_their_revisions(recorder):
-    """A key that was removed and written again in one answer stays."""
+    """Guards against a lost key that was removed and written again.
+
+    Both changes arrive in one answer.
+    """
     recorder.mirror.put(Entry("a/1", b"one", 1))
     recorder.mirror.apply(
         Changes((Entry("a/1", b"two", 5),), (Removal("a/1", 3),), 5)
@@ -114,10 +120,10 @@
 
 
 def test_lost_history_is_made_up_by_a_new_listing(follow, recorder):
-    """A server that left while history was dropped is used on.
+    """Guards against requests to a server that has left.
 
-    The watch is told that what it asks for is no longer there; the next
-    listing shows the removal.
+    It left while the store dropped its history. The watch gets an error that
+    the requested history is gone; the next listing shows the removal.
     """
     script, _, _ = follow(
         Listing((Entry("a/1", b"x", 1), Entry("a/2", b"y", 2)), 2),
@@ -131,12 +137,12 @@
 def test_a_watch_that_was_cut_is_followed_by_a_listing(
     follow, clock, recorder
 ):
-    """Requests are handled as a replaced configuration says, for seconds.
+    """Guards against requests handled with a replaced configuration.
 
-    A change is made while no watch hears anything. Then the history is
-    dropped and all watches are cut. The next watch asks for what came after
-    the last revision seen; the store has forgotten that there was
-    something, and lets the watch wait until the next change.
+    A change is made while watches receive nothing. The store then drops its
+    history and closes all watches. A new watch that resumes from the last
+    revision seen does not get the change, because the store no longer has it,
+    and waits until the next one.
     """
     script, _, _ = follow(
         Listing((Entry("a/1", b"old", 1),), 1),
@@ -151,11 +157,11 @@
 def test_a_watch_that_brought_nothing_is_followed_by_a_listing(
     follow, recorder
 ):
-    """A server that leaves is used on until the store's next change.
+    """Guards against requests to a server that is leaving.
 
-    The wait of a watch ends in the moment in which no watch hears
-    anything. Its answer names a revision beyond the change, which was not
-    in it, and the watch that goes on from there never brings it.
+    The wait of a watch ends while watches receive nothing. Its answer names a
+    revision beyond a change that it does not contain, and a watch that resumes
+    from that revision never delivers the change.
     """
     script, _, _ = follow(
         Listing((Entry("a/1", b"ready", 1),), 1),
@@ -167,10 +173,10 @@
 
 
 def test_a_quiet_store_is_not_listed_again_and_again(follow):
-    """All hosts pay for a listing of everything each few seconds.
+    """Guards against a full listing by every host each few seconds.
 
-    The wait of a watch has ended and nothing at all was changed in the
-    store meanwhile, so that nothing can have been missed.
+    The wait of a watch has ended, and the store's revision shows that nothing
+    has changed, so no change can have been missed.
     """
     script, _, _ = follow(
         Listing((Entry("a/1", b"x", 1),), 1),
@@ -181,9 +187,9 @@
 
 
 def test_keys_lost_in_an_outage_are_marked(follow, clock, recorder):
-    """All servers are dropped at once when the store comes back.
+    """Guards against dropping all servers when the store recovers.
 
-    Their registrations lapsed while it was away.
+    Their registrations expired while the store was down.
     """
     script, contact, _ = follow(
         Listing((Entry("a/1", b"x", 1),), 1),
@@ -199,7 +205,7 @@
 
 
 def test_a_store_that_is_away_is_asked_seldom(follow, clock):
-    """All hosts together keep the store down by asking it too often."""
+    """Guards against hosts that overload a store that is down with retries."""
     listing = Listing((Entry("a/1", b"x", 1),), 1)
     script, _, _ = follow(listing, *[KeyValueError("down")] * 200)
     for _ in range(100):
@@ -208,9 +214,10 @@
 
 
 def test_a_host_without_a_listing_retries_more_often(follow, clock):
-    """A host serves nobody for a second after the store's return.
+    """Guards against a host that serves no request after an outage.
 
-    It started while the store was away, and its pauses had grown.
+    It started while the store was down. With the longest backoff it would
+    notice the recovery about a second late.
     """
     script, _, _ = follow(*[KeyValueError("down")] * 200)
     for _ in range(100):
@@ -219,10 +226,10 @@
 
 
 def test_a_listing_beside_the_watch_brings_back_nothing_old(recorder):
-    """A key that has just been written is lost again.
+    """Guards against a new key that is lost again.
 
-    The listing was made before the watch brought the key. Taken for the
-    newest, it would remove an evacuation that is in force.
+    A listing is older than the key that the watch has delivered since. If the
+    listing were applied, it would remove an evacuation that is in force.
     """
     recorder.mirror.put(Entry("a/1", b"one", 3))
     recorder.mirror.put(Entry("a/2", b"two", 9))
@@ -231,10 +238,10 @@
 
 
 def test_a_listing_that_brings_nothing_new_makes_no_host_read_a_copy(recorder):
-    """All hosts of a region read copies, each second.
+    """Guards against hosts that read snapshots from each other every second.
 
-    The store's revision rises all the time. A host that took it over from
-    each listing would seem ahead of all others.
+    The store's revision rises all the time. A host that adopted the revision
+    of each listing would seem to be ahead of all others.
     """
     recorder.mirror.put(Entry("a/1", b"one", 3))
     recorder.mirror.refresh(Listing((Entry("a/1", b"one", 3),), 50))
@@ -245,9 +252,9 @@
 
 
 def test_a_listing_that_comes_late_takes_no_newer_key_away(recorder):
-    """Guards against an evacuation that ends as an older listing arrives.
+    """Guards against an evacuation that ends when an older listing arrives.
 
-    A neighbour told of the key while the listing was on its way.
+    A neighbour broadcast the key while the listing was under way.
     """
     recorder.mirror.replace([Entry("a/1", b"one", 3)], 5)
     recorder.mirror.apply(Changes((Entry("a/2", b"two", 9),), (), 9))
@@ -259,10 +266,10 @@
 
 
 def test_a_key_that_was_removed_does_not_come_back_older(recorder):
-    """Guards against a server that is used again after it has left.
+    """Guards against requests to a server that has left.
 
-    Of two hosts that tell of its entry and of the removal, the slower one
-    tells of the entry last; so does a listing made in between.
+    Two hosts broadcast the entry of the server and its removal. The entry from
+    the slower host arrives last; so does a listing made in between.
     """
     written = Changes((Entry("a/1", b"one", 5),), (), 5)
     recorder.mirror.apply(written)
@@ -276,14 +283,14 @@
 
 
 def test_a_removal_that_comes_first_is_not_undone(recorder):
-    """Guards against a key that stays, as its removal overtook it."""
+    """Guards against a removed key that stays as its removal came first."""
     recorder.mirror.apply(Changes((), (Removal("a/1", 8),), 8))
     recorder.mirror.apply(Changes((Entry("a/1", b"one", 5),), (), 5))
     assert_that(recorder.written, Equals([]))
 
 
 def test_a_listing_corrects_a_removal_that_was_wrong(recorder):
-    """Guards against a server that is never used, as one copy lacked it."""
+    """Guards against an unused server that was missing in one listing."""
     recorder.mirror.apply(Changes((Entry("a/1", b"one", 3),), (), 3))
     recorder.mirror.replace([], 6)
     recorder.mirror.replace([Entry("a/1", b"one", 3)], 9)
@@ -305,9 +312,9 @@
 def test_an_unexpected_error_does_not_end_a_watch_for_good(
     follow, clock, recorder
 ):
-    """Guards against a host that never hears of changes again.
+    """Guards against a host that never receives changes again.
 
-    One answer of the store could not be handled, and the loop ended.
+    Handling one answer of the store raised an exception and ended the loop.
     """
     script, contact, _ = follow(
         Listing((Entry("a/1", b"old", 1),), 1),
@@ -323,10 +330,10 @@
 def test_a_copy_that_brings_nothing_is_no_evidence_against_a_watch(
     follow, clock, recorder
 ):
-    """Guards against hosts that list in turn for as long as the store changes.
+    """Guards against repeated listings for as long as the store changes.
 
-    A listing names the store's own revision, which rises with all keys. A
-    neighbour's copy of it seems newer than what the watch has brought.
+    A listing names the revision of the whole store, which rises with all keys.
+    A neighbour's snapshot of it seems newer than the watch.
     """
     entry = Entry("a/1", b"x", 1)
     script, _, watcher = follow(Listing((entry,), 5))
@@ -340,7 +347,7 @@
 def test_a_change_that_came_otherwise_is_evidence_against_a_watch(
     follow, clock, recorder
 ):
-    """Guards against a dead watch that is kept till its time is over."""
+    """Guards against a dead watch that is kept until its wait ends."""
     script, _, watcher = follow(Listing((Entry("a/1", b"x", 1),), 5))
     recorder.mirror.apply(Changes((Entry("a/1", b"y", 9),), (), 9))
     for _ in range(3):
--- a/tests/test_provenance.py
+++ b/tests/test_provenance.py
@@ -1,4 +1,4 @@
-"""From a request's lines to the configuration that each host held."""
+"""From the log lines of a request to the configuration of each host."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 def details(hosts, event, **wanted):
-    """Return the newest line of an event that has what is *wanted*."""
+    """Return the newest line of an event that has the *wanted* fields."""
     for process in hosts.processes.values():
         process.lines.flush()
     rows = [json.loads(line) for line in hosts.lines]
@@ -26,7 +26,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_the_line_of_a_request_names_the_version_and_its_source(hosts):
-    """A request is handled by an older version, and no line says why."""
+    """Guards against log lines that do not explain an outdated version."""
     hosts.store.put_json("op/config", configuration(7))
     north = hosts.processes["h-north"]
     await hosts.until(lambda: north.keeper.version == 7)
@@ -57,7 +57,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_relayed_request_logs_the_versions_of_both_hosts(hosts):
-    """Two regions differ in their version, and one line shows only one."""
+    """Guards against a relayed request that is logged with one version only.
+
+    The two regions may have different versions in force.
+    """
     answer = await hosts.send("h-north", "/bound/a", identifier="r3")
     assert_that(answer[0], Equals(200))
     relayed = details(hosts, "relayed", request="r3")
@@ -68,7 +71,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_host_that_is_behind_logs_it_once(hosts):
-    """A host stays behind its neighbours without a word."""
+    """Guards against a host that stays behind its neighbours unlogged."""
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
--- a/tests/test_remotehosts.py
+++ b/tests/test_remotehosts.py
@@ -1,4 +1,4 @@
-"""Which host of another region gets a request, and by which connection."""
+"""Choice of a host of another region, and of a connection to it."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def member(name, region, **more):
-    """Return a `Member` that was heard at the start."""
+    """Return a `Member` that sent a heartbeat at the start."""
     made = Member(
         name=name,
         region=region,
@@ -40,19 +40,19 @@
         return self.idle.get(key, 0)
 
     def prepare(self, lane):
-        """Note that one is being opened."""
+        """Record that a connection is being opened."""
         self.prepared.append(lane.key)
 
 
 @pytest.fixture
 def connections():
-    """Return connections of which none is open."""
+    """Return a pool without any open connection."""
     return IdleConnections()
 
 
 @pytest.fixture
 def remote_hosts(connections):
-    """Return `RemoteHosts` of a host with thirty hosts in the south."""
+    """Return the `RemoteHosts` of a host with thirty hosts in the south."""
     members = Members(member("own", "north"))
     for number in range(30):
         members.learn(member(f"s{number}", "south"))
@@ -62,10 +62,10 @@
 def test_a_ready_connection_is_used_before_a_new_one(
     remote_hosts, connections
 ):
-    """Work sent away is late although engines there are idle.
+    """Guards against late requests while engines in another region are idle.
 
-    Each request goes to another of thirty hosts, so each opens a
-    connection and loses a round trip of 160 ms on its way.
+    If each request went to another of thirty hosts, each would open a
+    connection first, which costs a round trip of 160 ms.
     """
     connections.idle["s7"] = 1
     chosen = [remote_hosts.choose("south", set()) for _ in range(20)]
@@ -77,7 +77,10 @@
 def test_a_spare_connection_is_opened_while_work_is_sent(
     remote_hosts, connections
 ):
-    """A peak needs several connections at once, not one after another."""
+    """Guards against connections opened one after another at a peak.
+
+    A peak needs several connections at once.
+    """
     remote_hosts.choose("south", set())
     assert_that(connections.prepared, HasLength(1))
     connections.idle = {"s1": 2, "s2": 2}
@@ -86,7 +89,7 @@
 
 
 def test_a_region_without_hosts_gets_nothing(remote_hosts):
-    """All hosts of a region have failed a request, or none is heard."""
+    """Guards against a choice when all hosts have failed or none is live."""
     assert_that(remote_hosts.choose("west", set()), Is(NOTHING))
     tried = {f"s{number}" for number in range(30)}
     assert_that(remote_hosts.choose("south", tried), Is(NOTHING))
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -1,4 +1,4 @@
-"""Who lives, among hundreds of hosts that each hear only a few others."""
+"""Agreement on live hosts among hundreds that each contact only a few."""
 
 import pytest
 from networks import REGIONS, Network, StartingNetwork
@@ -6,7 +6,7 @@
 from testtools.matchers import Equals, LessThan
 
 MOST_CONTROL_BYTES = 2_000
-"""Bytes a second that a host may spend on control."""
+"""Bytes per second that a host may send as control traffic."""
 
 
 @pytest.fixture
@@ -18,7 +18,10 @@
 
 
 def test_all_hosts_agree_on_live_hosts_and_the_placing_host(network):
-    """Requests of one region are placed by several hosts, each half blind."""
+    """Guards against several placing hosts in a region.
+
+    Each of them would see only part of the load.
+    """
     for region in REGIONS:
         assert network.agree(region)
         for host in network.hosts.values():
@@ -27,11 +30,11 @@
 
 @pytest.mark.parametrize("hosts_in_region", [2, 3, 20])
 def test_hosts_that_start_together_learn_of_all_others(hosts_in_region):
-    """Requests are answered 403 by a host of another region.
+    """Guards against requests that a host of another region answers with 403.
 
-    All hosts start at once. Each reads in the store those that registered
-    before it; the first knows nobody. A host that forwards a request is
-    taken for a stranger where it is not known.
+    All hosts start at once. Each reads from the store the hosts that
+    registered before it, and the first reads none. A host that does not know
+    the sender of a forwarded request rejects it.
     """
     network = StartingNetwork(hosts_in_region)
     network.run(8.0)
@@ -43,10 +46,11 @@
 
 
 def test_what_a_host_spends_does_not_grow_with_the_hosts():
-    """Idle hosts need a twentieth of a core for heartbeats alone.
+    """Guards against heartbeats that cost an idle host a twentieth of a core.
 
-    Each of 195 hosts sent one to all others, 190 a second. The hosts that
-    place spend more, but nine in ten stay below what control may cost.
+    That was the cost when each of 195 hosts sent heartbeats to all others, 190
+    a second. Placing hosts send more, but nine in ten hosts stay below the
+    limit for control traffic.
     """
     network = Network(65)
     network.run(5.0)
@@ -69,11 +73,12 @@
 
 
 def test_the_hosts_that_report_all_others_fail_at_once(network):
-    """A region forgets itself when the hosts that it reports to go.
+    """Guards against a region that counts as gone when its contacts fail.
 
-    The host that places and the two that would follow lose their power in
-    the same moment. Nobody else is heard by all. No host may be taken for
-    gone that runs, and within three seconds all ask one host again.
+    The placing host and the two candidates to replace it lose power at the
+    same time, and no other host receives heartbeats from all. No running host
+    may be counted as gone, and within three seconds all hosts must agree on
+    the placing host again.
     """
     host = network.hosts["north-39"]
     gone = network.placer_of(host).members.placers(network.clock.seconds())
@@ -90,7 +95,7 @@
 
 
 def test_a_host_that_is_cut_off_decides_by_itself(network):
-    """A host without the others waits for their answers for each request."""
+    """Guards against a cut-off host that waits for others at each request."""
     host = network.hosts["south-30"]
     network.cut.add(host)
     network.run(1.5)
@@ -103,7 +108,7 @@
 
 
 def test_a_region_that_is_cut_off_is_left_out_soon(network):
-    """Requests are sent to a region that no packet reaches."""
+    """Guards against requests sent to a region that no packet reaches."""
     network.cut.update(
         host for host in network.hosts.values() if host.region == "west"
     )
@@ -119,10 +124,10 @@
 
 
 def test_hosts_of_other_regions_stay_known(network):
-    """Nothing is sent to other regions although they are up.
+    """Guards against remote regions that count as down although they are up.
 
-    The hosts that place send to all of their region at once, and their
-    links lose what comes last, which goes to the other regions.
+    Placing hosts send to their whole region in one burst, and their links drop
+    the datagrams sent last, those for other regions.
     """
     for _ in range(10):
         network.run(2.0)
@@ -132,7 +137,7 @@
 
 
 def test_a_host_that_leaves_is_named_no_more(network):
-    """Callers are sent to a host that is about to end."""
+    """Guards against callers that are sent to a host that is about to end."""
     leaving = network.hosts["north-30"]
     leaving.members.own.leaving = True
     leaving.membership.send_heartbeats()
@@ -142,9 +147,10 @@
 
 
 def test_hosts_that_start_together_name_all_others():
-    """All callers of a region come to the same three hosts after an outage.
+    """Guards against directing all callers to the same three hosts at a start.
 
-    Right after their start hosts have heard only those that they report to.
+    Right after an outage hosts have received heartbeats only from the hosts
+    that they report to.
     """
     network = Network(20)
     network.run(0.5)
@@ -156,10 +162,10 @@
 
 
 def test_hosts_that_start_together_reach_other_regions_soon():
-    """Callers of a full region are refused for seconds after an outage.
+    """Guards against refused callers of a full region after an outage.
 
-    All hosts start at once. Until they have heard of the other regions,
-    none can send a request there.
+    All hosts start at once. Until they receive messages from the other
+    regions, they cannot send requests there.
     """
     network = StartingNetwork(20)
     network.run(2.0)
@@ -169,10 +175,10 @@
 
 
 def test_hosts_that_were_all_cut_off_find_one_another(network):
-    """A region stays in two halves after a cut, each with its own placer.
+    """Guards against a region that stays split with two placing hosts.
 
-    All hosts of a region hear nobody for some seconds. Each then meets a
-    few others, which tell it of each other; the rest seem gone for good.
+    All hosts of a region are cut off for some seconds. Each then reaches a few
+    others, which report each other; the rest would count as gone for good.
     """
     hosts = [network.hosts[name] for name in network.names("west")]
     network.cut.update(hosts)
@@ -183,7 +189,10 @@
 
 
 def test_a_host_that_nobody_knows_becomes_known_to_all(network):
-    """A host that is added serves nobody, as the directory lacks it."""
+    """Guards against a new host that gets no requests.
+
+    The directory does not name a host that the others do not know.
+    """
     added = network.add("north-99", "north", 99, 1)
     network.introduce(added, network.hosts.values())
     network.run(9.0)
@@ -193,10 +202,10 @@
 
 
 def test_a_start_after_a_clock_that_stepped_back_is_accepted(network):
-    """A host is deaf and mute for half a minute after it starts again.
+    """Guards against a restarted host that is ignored for half a minute.
 
-    Its starts are numbered by the time of day, which has stepped back by
-    forty minutes in between. Its peers drop what it says as outdated.
+    Its incarnation is the wall clock time, which has stepped back by forty
+    minutes in between. Its peers drop its messages as outdated.
     """
     old = network.hosts["north-7"]
     old.up = False
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections that pass nothing and do not end, and what hosts notice."""
+"""Connections that pass no data but stay open, and their detection."""
 
 import pytest
 import pytest_twisted
@@ -11,16 +11,16 @@
 from hyssopspring_fakes.proxies import FaultProxy
 
 APPLY_SECONDS = 4.0
-"""Seconds in which a change must be in force at every host."""
+"""Time limit for a change to be in force at every host."""
 
 
 def is_watch(asked):
-    """Whether a caller of the store has last asked to watch."""
+    """Return whether the last request on a connection was a watch."""
     return b"/v1/kv-watch" in asked and b"wait_ms=0" not in asked
 
 
 async def watching(hosts):
-    """Wait until each host waits for an answer to its watches."""
+    """Wait until each host has two pending watches."""
 
     def waits(proxy):
         watches = [one for one in proxy.pairs if is_watch(one.asked)]
@@ -37,7 +37,7 @@
 async def test_silent_connections_to_the_store_hide_no_change(
     proxied_hosts, chosen
 ):
-    """Guards against an old version in force while its watch is dead."""
+    """Guards against an old version in force while the watch is dead."""
     await watching(proxied_hosts)
     for proxy in proxied_hosts.proxies.values():
         proxy.silence(chosen)
@@ -51,7 +51,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_lost_answer_of_a_watch_hides_no_change(proxied_hosts):
-    """Guards against a watch whose one answer was lost on its way."""
+    """Guards against a watch whose only answer was lost in transit."""
     await watching(proxied_hosts)
     for proxy in proxied_hosts.proxies.values():
         proxy.mute()
@@ -65,7 +65,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_silent_watches_hide_no_server_that_leaves(proxied_hosts):
-    """Guards against requests at a server that is about to end."""
+    """Guards against requests to a server that is about to end."""
     await watching(proxied_hosts)
     for proxy in proxied_hosts.proxies.values():
         proxy.silence(is_watch)
@@ -85,7 +85,7 @@
 async def test_watches_cut_off_with_all_else_are_not_kept_after_the_cut(
     proxied_hosts,
 ):
-    """Guards against a watch that outlives a cut and hears nothing more."""
+    """Guards against a watch that survives a cut but gets no more changes."""
     await watching(proxied_hosts)
     for proxy in proxied_hosts.proxies.values():
         proxy.silence()
@@ -119,10 +119,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_neighbour_that_cannot_be_read_hides_no_change(hosts):
-    """Guards against a host that asks only neighbours it cannot reach.
+    """Guards against a host that reads only from unreachable neighbours.
 
-    It relies on two others for changes, and loses their datagrams; their
-    heartbeats say that they have more, and nobody answers where it asks.
+    It relies on two others for changes and loses their datagrams. Their
+    heartbeats report newer revisions, but reads of their snapshots fail.
     """
     north, resting = await hosts.with_resting_host()
     resting.membership.handlers[StoreChange] = lambda message: None
@@ -136,9 +136,9 @@
 
 @pytest_twisted.ensureDeferred
 async def test_another_region_that_has_more_is_evidence(proxied_hosts):
-    """Guards against a region whose watches and probes are all dead.
+    """Guards against a region in which all watches and probes are dead.
 
-    Only the hosts of the other region hear of the change.
+    Only the hosts of the other region receive the change.
     """
     await watching(proxied_hosts)
     north = proxied_hosts.processes["h-north"]
@@ -156,9 +156,9 @@
 
 @pytest_twisted.ensureDeferred
 async def test_one_silent_request_is_evidence_against_idle_connections(hosts):
-    """Guards against one lost request for each connection that went silent.
+    """Guards against one lost request per connection that passes no data.
 
-    All connections to a server pass nothing any more; new ones would.
+    All connections to a server pass no data any more; new ones would.
     """
     backend = hosts.add_backend("plain-2", "plain", "north")
     backend.kept_for = 30
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,4 +1,4 @@
-"""Hosts that start, and the configuration that they begin with."""
+"""The configuration with which a host starts."""
 
 import pytest_twisted
 from entry_hosts import configuration
@@ -8,9 +8,9 @@
 
 
 async def versions_at_start(hosts, name, number, **settings):
-    """Start a host without the store; return the versions that it holds.
+    """Start a host without the store; return the versions that it applies.
 
-    They are looked at for three seconds.
+    The versions are polled for three seconds.
     """
     hosts.proxied = True
     hosts.add_host(name, "north", number, **settings)
@@ -31,8 +31,8 @@
 ):
     """Guards against an old version from a seed that is behind.
 
-    The host reaches the seed first, and its region's other host only by
-    what the seed tells of it.
+    The host reaches the seed first, and finds its region's other host only
+    through the seed's snapshot.
     """
     south = proxied_hosts.processes["h-south"]
     proxied_hosts.proxies["h-south"].silence()
@@ -51,7 +51,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_host_starts_with_a_seed_if_nobody_knows_more(proxied_hosts):
-    """Guards against a host that serves nobody while the store is away."""
+    """Guards against a host that serves no request while the store is down."""
     south = proxied_hosts.processes["h-south"]
     await proxied_hosts.processes.pop("h-north").close()
     seen = await versions_at_start(
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""How surely a host's configuration is the newest, and what follows."""
+"""Confirmation that a host's configuration is the newest one."""
 
 import math
 
@@ -17,7 +17,7 @@
 
 
 def test_a_view_ages_from_the_question_and_never_backwards():
-    """A late answer, doubled on its way, makes an old view look young."""
+    """Guards against a late or duplicated response that makes a view fresh."""
     clock = task.Clock()
     view = ConfirmedView(clock.seconds, 5.0)
     assert_that((view.age, view.is_fresh), Equals((math.inf, False)))
@@ -30,13 +30,13 @@
 
 
 def test_without_a_bound_keys_are_always_accepted():
-    """Deployments that name no bound would refuse keys in an outage."""
+    """Guards against refused keys in an outage without a revocation limit."""
     view = ConfirmedView(task.Clock().seconds, NOTHING)
     assert_that(view.is_fresh, Is(True))
 
 
 def hosts_accepting_stale_keys(network):
-    """Return the hosts that believe keys of a version that is too old."""
+    """Return the hosts that accept the keys of an outdated version."""
     return [
         name
         for name, host in network.hosts.items()
@@ -63,11 +63,11 @@
     st.integers(0, 12),
 )
 def test_a_key_taken_away_ends_everywhere_whatever_fails(faults, change_at):
-    """A key that was taken away still serves at one host.
+    """Guards against a revoked key that one host still accepts.
 
-    The host was cut off, suspended or turned away by the store as the key
-    went, and what confirms its old configuration lay in a buffer or came
-    from a host that had not heard of it either.
+    The host was cut off, suspended or rejected by the store when the key was
+    revoked. The confirmation of its old configuration came from a buffer, or
+    from a host that had not received the revocation either.
     """
     network = Network(6)
     hosts = list(network.hosts.values())
@@ -117,10 +117,10 @@
 
 
 def test_a_calm_fleet_confirms_its_views_with_few_calls():
-    """Each of 195 hosts asks the store each second.
+    """Guards against 195 hosts that each call the store every second.
 
-    Calls are paid for and limited. Only the first host of a region reads;
-    all others hear of it, and none of their views gets old.
+    Calls are billed and rate limited. Only the first host of a region reads
+    the store; all others get confirmations from it, and no view gets old.
     """
     network = Network(65)
     network.run(4)
@@ -134,7 +134,7 @@
 
 
 def test_hosts_refused_by_the_store_are_confirmed_by_others():
-    """A host refuses keys though its neighbours could vouch for them."""
+    """Guards against refused keys while neighbours have fresh views."""
     network = Network(6)
     network.run(3)
     away = list(network.hosts.values())[:3]
@@ -146,7 +146,7 @@
 
 
 def test_the_loss_of_the_first_host_costs_no_refusal():
-    """All hosts of a region refuse keys, as the one that reads is gone."""
+    """Guards against a region that refuses keys as its first host fails."""
     network = Network(6)
     network.run(3)
     first = network.placer_of(network.hosts["south-0"])
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("seconds", [5.5, 9.0])
 def test_a_cut_region_recovers_within_a_second_of_the_link(seconds):
-    """A region goes on refusing keys long after it is reached again."""
+    """Guards against a region that still refuses keys after a cut ended."""
     network = Network(6)
     network.run(3)
     pairs = {frozenset((one, "south")) for one in ("north", "west")}
@@ -178,10 +178,10 @@
 
 
 def test_a_resumed_host_ignores_confirmations_from_its_buffers():
-    """A woken host serves a key that was taken away while it slept.
+    """Guards against a revoked key that a resumed host accepts.
 
-    An answer that had come before the key went lay in its buffer. It is
-    read after the wake, and bears the time of a question from before.
+    A response from before the revocation stays in the host's buffer and is
+    read after the host resumes. It carries the time of a request from before.
     """
     network = Network(6)
     network.run(3)
@@ -203,10 +203,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_keys_are_refused_when_the_view_is_old_and_served_anew(hosts):
-    """A caller is served by a key that nobody can vouch for.
+    """Guards against a key that is accepted without a confirmed view.
 
-    The store is away for longer than the bound. The request is refused at
-    once with a true status; routes without keys are served all the while.
+    The store is down for longer than the limit. Requests with a key are
+    refused at once with a proper status; routes without keys keep being
+    served.
     """
     hosts.store.put_json("op/config", keyed_configuration(2))
     await hosts.until(
