--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -85,8 +85,9 @@
         datagrams: The `Datagrams`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        changed: Called with a `Member` that has newer state than this host.
-        store_changed: Called with a `StoreChange` of another host.
+        on_peer_ahead: Called with a `Member` whose state is newer than that
+            of this host.
+        on_store_change: Called with a `StoreChange` of another host.
         sharing: The `CrashSharing`.
         notices: The `Notices`.
         views: The `ViewVerifier`.
@@ -100,8 +101,8 @@
         datagrams,
         clock,
         timeline,
-        changed,
-        store_changed,
+        on_peer_ahead,
+        on_store_change,
         sharing,
         notices,
         views,
@@ -112,7 +113,7 @@
         self.datagrams = datagrams
         self.clock = clock
         self.timeline = timeline
-        self.changed = changed
+        self.on_peer_ahead = on_peer_ahead
         self.sharing = sharing
         self.notices = notices
         self.heartbeats_sent = 0
@@ -133,7 +134,7 @@
             StartMessage: self.handle_attempt_started,
             EndMessage: self.handle_attempt_ended,
             Summary: self.handle_load_report,
-            StoreChange: store_changed,
+            StoreChange: on_store_change,
             Suspects: sharing.take,
             NoticeRows: notices.take,
             ViewAsk: views.handle_request,
@@ -185,12 +186,12 @@
 
         The first of them sends rosters of all other hosts in return.
         """
-        tickets = self.asking.open_tickets()
+        placements = self.asking.open_tickets()
         reports = (
-            (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
+            (contacts[:1], self.heartbeat(Report.ROSTERS, placements)),
             (
                 contacts[1:PLACEMENT_REPORT_HOSTS],
-                self.heartbeat(Report.HEARTBEATS, tickets),
+                self.heartbeat(Report.HEARTBEATS, placements),
             ),
             (
                 contacts[PLACEMENT_REPORT_HOSTS:],
@@ -274,12 +275,12 @@
         if far and self.is_placing(self.clock.seconds()):
             self.datagrams.send(self.load_report(), member.control)
 
-    def heartbeat(self, report=Report.NONE, tickets=None):
+    def heartbeat(self, report=Report.NONE, placements=None):
         """Return a heartbeat with the current state.
 
         Args:
             report: The `Report`.
-            tickets: `OpenTicket` of each request in progress, or None.
+            placements: `OpenTicket` of each request in progress, or None.
         """
         own = self.members.own
         return Heartbeat(
@@ -297,7 +298,7 @@
             own.version,
             own.revisions,
             report,
-            tickets,
+            placements,
             self.sharing.crashes.digest,
             self.notices.digest,
         )
@@ -369,7 +370,7 @@
             self.announce_leaving(member, now)
         own = self.members.own
         if member.is_ahead(own.version, own.revisions):
-            self.changed(member)
+            self.on_peer_ahead(member)
         self.sharing.compare(member, message.crashes)
         self.notices.compare(member, message.notices)
         if message.tickets is not None:
@@ -409,7 +410,7 @@
 
     def handle_placements(self, message, now):
         """Replace the recorded placements of a host by the reported ones."""
-        numbers = {ticket.number for ticket in message.tickets}
+        numbers = {placement.number for placement in message.tickets}
         self.placer.keep_only(
             message.host,
             numbers,
@@ -462,31 +463,31 @@
 
 def encode_load(load):
     """Return a `RegionLoad` as a `ServiceLoad` message."""
-    rooms = [
+    capacities = [
         ToldRoom(
-            [round(wait * 1000) for wait in room.waits],
-            round(room.used * 100),
-            round(room.token_seconds * 1e6),
-            -1 if room.spare is NOTHING else room.spare,
+            [round(wait * 1000) for wait in capacity.waits],
+            round(capacity.used * 100),
+            round(capacity.token_seconds * 1e6),
+            -1 if capacity.spare is NOTHING else capacity.spare,
         )
-        for room in load.rooms
+        for capacity in load.rooms
     ]
-    return ServiceLoad(load.slots, rooms, list(load.read))
+    return ServiceLoad(load.slots, capacities, list(load.read))
 
 
 def decode_load(load):
     """Return a `ServiceLoad` message as a `RegionLoad`."""
-    rooms = [
+    capacities = [
         Room(
-            tuple(millis / 1000 for millis in told.waits),
-            told.used / 100,
-            told.token_micros / 1e6,
-            told.spare if told.spare >= 0 else NOTHING,
+            tuple(millis / 1000 for millis in row.waits),
+            row.used / 100,
+            row.token_micros / 1e6,
+            row.spare if row.spare >= 0 else NOTHING,
         )
-        for told in load.rooms
-        if len(told.waits) == RANKS
+        for row in load.rooms
+        if len(row.waits) == RANKS
     ]
-    return RegionLoad(load.slots, tuple(rooms), tuple(load.read))
+    return RegionLoad(load.slots, tuple(capacities), tuple(load.read))
 
 
 def decode_placement(host, row, now):
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -96,8 +96,8 @@
     """A copy of all keys below a prefix.
 
     Args:
-        written: Called with each `Entry` that is new to the copy.
-        removed: Called with each key that was removed, and whether it was
+        on_written: Called with each `Entry` that is new to the copy.
+        on_removed: Called with each key that was removed, and whether it was
             removed while the store was down.
 
     Attributes:
@@ -112,11 +112,11 @@
         loaded: Whether a listing has been applied.
     """
 
-    def __init__(self, written, removed):
+    def __init__(self, on_written, on_removed):
         self.entries = {}
         self.removals = {}
-        self.written = written
-        self.removed = removed
+        self.on_written = on_written
+        self.on_removed = on_removed
         self.newest_revision = 0
         self.newest_change_revision = 0
         self.loaded = False
@@ -212,7 +212,7 @@
         self.newest_change_revision = max(
             self.newest_change_revision, entry.revision
         )
-        self.written(entry)
+        self.on_written(entry)
 
     def remove(self, removal, outage):
         """Remove one key unless it has been written again since."""
@@ -222,7 +222,7 @@
         self.record_removal(removal)
         if known is not None:
             del self.entries[removal.key]
-            self.removed(removal.key, outage)
+            self.on_removed(removal.key, outage)
 
     def record_removal(self, removal):
         """Record a removal; drop the oldest record if there are too many."""
@@ -297,8 +297,8 @@
         contact: The `StoreContact`.
         clock: The runtime's clock.
         rng: Random number generator.
-        changed: Called with the prefix, the `Changes` from a watch and whether
-            the store was down, before they are applied to the mirror.
+        on_changes: Called with the prefix, the `Changes` from a watch and
+            whether the store was down, before the mirror applies them.
         before_listing: Called with the prefix before a listing; returns a
             callable to call once the mirror reflects it.
         is_starting: Called to find out whether this host has just started.
@@ -312,7 +312,7 @@
         contact,
         clock,
         rng,
-        changed,
+        on_changes,
         before_listing,
         is_starting,
     ):
@@ -322,7 +322,7 @@
         self.contact = contact
         self.clock = clock
         self.rng = rng
-        self.changed = changed
+        self.on_changes = on_changes
         self.before_listing = before_listing
         self.is_starting = is_starting
         self.after_revision = NOTHING
@@ -402,7 +402,7 @@
             if changes.revision > self.after_revision:
                 self.after_revision = NOTHING
             return
-        self.changed(self.prefix, changes, outage)
+        self.on_changes(self.prefix, changes, outage)
         self.mirror.apply(changes, outage=outage, origin=Origin(Channel.WATCH))
         self.after_revision = max(self.after_revision, changes.revision)
         pause = (
@@ -430,7 +430,7 @@
         if self.mirror.loaded:
             changes = self.mirror.difference(listing)
             if changes.entries or changes.removals:
-                self.changed(self.prefix, changes, outage)
+                self.on_changes(self.prefix, changes, outage)
         self.mirror.replace(
             listing.entries,
             listing.revision,
@@ -444,7 +444,7 @@
         if not changes.entries and not changes.removals:
             return
         outage = self.contact.recovering
-        self.changed(self.prefix, changes, outage)
+        self.on_changes(self.prefix, changes, outage)
         self.mirror.apply(changes, outage=outage, origin=Origin(Channel.PROBE))
 
     def record_listing(self, prefix):
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -130,13 +130,13 @@
 
     A recent message from the host itself takes precedence.
     """
-    heard = now - row.age_tenths / TENTHS_PER_SECOND
+    last_seen_at = now - row.age_tenths / TENTHS_PER_SECOND
     if HostState.GONE in HostState(row.state):
-        mark_gone(member, heard)
+        mark_gone(member, last_seen_at)
         return
-    if member.told_at is NOTHING or heard > member.told_at:
-        member.told_at = heard
-    if member.heard_at is not NOTHING and member.heard_at >= heard:
+    if member.told_at is NOTHING or last_seen_at > member.told_at:
+        member.told_at = last_seen_at
+    if member.heard_at is not NOTHING and member.heard_at >= last_seen_at:
         return
     state = HostState(row.state)
     member.leaving = HostState.LEAVING in state
@@ -147,10 +147,12 @@
     member.version = max(1, member.version) if configured else 0
 
 
-def mark_gone(member, heard):
+def mark_gone(member, last_seen_at):
     """Treat a host as gone that nothing was received from since *heard*."""
     if member.told_at is not NOTHING:
-        member.told_at = min(member.told_at, heard - GONE_REPORT_SECONDS)
+        member.told_at = min(
+            member.told_at, last_seen_at - GONE_REPORT_SECONDS
+        )
 
 
 def encode_state(member):
--- a/src/hyssopspring/entry/storesync.py
+++ b/src/hyssopspring/entry/storesync.py
@@ -112,10 +112,10 @@
     def watch_age(self):
         """Seconds since the last answer of the oldest watch, or 0."""
         now = self.state.clock.seconds()
-        heard = [
+        reply_times = [
             one.last_reply_at for one in self.watchers if one.last_reply_at
         ]
-        return round(now - min(heard, default=now), 1)
+        return round(now - min(reply_times, default=now), 1)
 
     def make_watcher(self, prefix, mirror):
         """Return the `PrefixWatcher` of one prefix."""
@@ -306,16 +306,16 @@
         if entry.key == self.layout.CONFIGURATION_KEY:
             self.apply_configuration(entry)
             return
-        place = self.layout.evacuated_data_centre(entry.key)
-        if place is not NOTHING:
-            self.evacuated.add(place)
+        data_centre = self.layout.evacuated_data_centre(entry.key)
+        if data_centre is not NOTHING:
+            self.evacuated.add(data_centre)
             self.apply_evacuation()
 
     def on_operator_removed(self, key, outage):
         """Apply the removal of an operator's key."""
-        place = self.layout.evacuated_data_centre(key)
-        if place is not NOTHING:
-            self.evacuated.discard(place)
+        data_centre = self.layout.evacuated_data_centre(key)
+        if data_centre is not NOTHING:
+            self.evacuated.discard(data_centre)
             self.apply_evacuation()
 
     def apply_evacuation(self):
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -68,13 +68,13 @@
             while the host is suspended.
         bound: Seconds within which a revoked key must be refused, or `NOTHING`
             if there is no limit.
-        apply: Seconds within which a change must be in force.
+        apply_seconds: Seconds within which a change must be in force.
     """
 
-    def __init__(self, clock, bound, apply=APPLY_SECONDS):
+    def __init__(self, clock, bound, apply_seconds=APPLY_SECONDS):
         self.clock = clock
         self.denial_max_age = max(
-            MIN_DENIAL_AGE_SECONDS, apply - DENIAL_MARGIN_SECONDS
+            MIN_DENIAL_AGE_SECONDS, apply_seconds - DENIAL_MARGIN_SECONDS
         )
         self.max_age = (
             NOTHING
@@ -132,7 +132,7 @@
         datagrams: The `Datagrams`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        read: Called to read the configuration from the store.
+        read_configuration: Called to read the configuration from the store.
         remote_hosts: Called for the hosts of other regions to ask.
     """
 
@@ -144,7 +144,7 @@
         datagrams,
         clock,
         timeline,
-        read,
+        read_configuration,
         remote_hosts,
     ):
         self.view = view
@@ -153,7 +153,7 @@
         self.datagrams = datagrams
         self.clock = clock
         self.timeline = timeline
-        self.read = read
+        self.read_configuration = read_configuration
         self.remote_hosts = remote_hosts
         self.refreshed_at = -math.inf
         self.verifying_since = -math.inf
@@ -175,13 +175,13 @@
         self.record_state()
         own = self.members.own
         ranked = self.members.placers(self.clock.seconds())
-        heard = len(ranked) > 1 or own.up_seconds >= LEARNING
-        first = ranked[0] is own and heard
+        has_contact = len(ranked) > 1 or own.up_seconds >= LEARNING
+        first = ranked[0] is own and has_contact
         age = self.view.age
         if age > (
             FIRST_READ_AGE_SECONDS if first else FALLBACK_READ_AGE_SECONDS
         ):
-            self.read()
+            self.read_configuration()
         self.request_confirmation(ranked[0])
         if age > ASK_SECOND_AGE_SECONDS:
             for member in ranked[1:2] + self.remote_hosts():
@@ -221,7 +221,7 @@
         if not others or now - self.verifying_since >= self.read_delay(
             ranked, now
         ):
-            self.read()
+            self.read_configuration()
 
     def read_delay(self, ranked, now):
         """Return the delay after which this host reads the store itself."""
@@ -275,4 +275,4 @@
             self.view.confirm((message.stamp - message.age_ms) / 1000)
             self.record_state()
         elif self.clock.seconds() - self.verified_at < VERIFY_BURST_SECONDS:
-            self.read()
+            self.read_configuration()
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -21,7 +21,7 @@
 from hyssopspring.stores.keyvalues import Entry, Listing
 
 
-class Script:
+class ScriptedStore:
     """A store that gives scripted answers."""
 
     def __init__(self, steps):
@@ -76,7 +76,7 @@
     """Return a function that follows a script to its end."""
 
     def start(*steps):
-        script = Script(steps)
+        script = ScriptedStore(steps)
         contact = StoreContact(
             clock, Timeline("h1", HybridClock(clock.seconds))
         )
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -38,7 +38,7 @@
     proxied_hosts.proxies["h-south"].silence()
     proxied_hosts.proxies["h-south"].cut = True
     south.store_sync.replication.on_peer_ahead = lambda member: None
-    south.membership.changed = lambda member: None
+    south.membership.on_peer_ahead = lambda member: None
     proxied_hosts.store.put_json("op/config", configuration(5))
     north = proxied_hosts.processes["h-north"]
     await proxied_hosts.until(lambda: north.keeper.version == 5)
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -79,11 +79,11 @@
             changed_at = network.clock.seconds()
         for number, (kind, which, length) in enumerate(faults):
             if second == number * 2:
-                begin(network, kind, hosts[which])
+                begin_fault(network, kind, hosts[which])
                 ends.append((second + length, kind, hosts[which]))
         for end, kind, host in ends:
             if end == second:
-                finish(network, kind, host)
+                end_fault(network, kind, host)
         for _ in range(10):
             network.run(0.1)
             if second >= change_at:
@@ -94,7 +94,7 @@
                     )
 
 
-def begin(network, kind, host):
+def begin_fault(network, kind, host):
     """Begin a fault at a host, or between its region and the store's."""
     if kind == "freeze":
         network.freeze(host)
@@ -106,7 +106,7 @@
         getattr(network, kind).add(host)
 
 
-def finish(network, kind, host):
+def end_fault(network, kind, host):
     """End a fault."""
     if kind == "freeze":
         network.wake(host)
