--- a/src/hyssopspring/entry/callers.py
+++ b/src/hyssopspring/entry/callers.py
@@ -55,7 +55,7 @@
 
     Args:
         state: The `EntryState`.
-        views: The `ViewChecking`.
+        views: The `ViewVerifier`.
     """
 
     def __init__(self, state, views):
--- a/src/hyssopspring/entry/replication.py
+++ b/src/hyssopspring/entry/replication.py
@@ -183,10 +183,10 @@
             )
             for member in (*self.state.members.others.values(), own)
         ]
-        copy = Snapshot(
+        snapshot = Snapshot(
             self.revisions, *map(encode_items, self.mirrors.values()), hosts
         )
-        return zlib.compress(_ENCODER.encode(copy), COMPRESSION_LEVEL)
+        return zlib.compress(_ENCODER.encode(snapshot), COMPRESSION_LEVEL)
 
     def record_behind(self, member):
         """Log that this host is behind a peer, once for each newer version."""
@@ -242,7 +242,7 @@
         """
         own = self.state.settings
         seeds = [one for one in own.seeds if one != own.control]
-        copies = await self.fetch_copies(seeds)
+        snapshots = await self.fetch_snapshots(seeds)
         asked = {split_address(address)[0] for address in seeds}
         neighbours = [
             member.relay
@@ -250,16 +250,18 @@
             if member.region == own.region
             and split_address(member.relay)[0] not in asked
         ]
-        copies += await self.fetch_copies(neighbours[:MAX_NEIGHBOURS_READ])
-        copies.sort(key=lambda pair: pair[1].revisions, reverse=True)
-        for address, snapshot in copies:
+        snapshots += await self.fetch_snapshots(
+            neighbours[:MAX_NEIGHBOURS_READ]
+        )
+        snapshots.sort(key=lambda pair: pair[1].revisions, reverse=True)
+        for address, snapshot in snapshots:
             self.apply_snapshot(snapshot, address)
 
-    async def fetch_copies(self, addresses):
+    async def fetch_snapshots(self, addresses):
         """Return address and `Snapshot` of each host that responds."""
         found = await defer.gatherResults(
             [
-                defer.ensureDeferred(self.fetch_copy(address))
+                defer.ensureDeferred(self.fetch_snapshot(address))
                 for address in addresses
             ]
         )
@@ -269,7 +271,7 @@
     async def read_host(self, address):
         """Read and apply another host's snapshot."""
         try:
-            snapshot = await self.fetch_copy(address)
+            snapshot = await self.fetch_snapshot(address)
         finally:
             self.fetching = False
         if snapshot is not NOTHING:
@@ -277,7 +279,7 @@
         else:
             self.on_peer_unreadable()
 
-    async def fetch_copy(self, address):
+    async def fetch_snapshot(self, address):
         """Return the `Snapshot` of another host, or `NOTHING`.
 
         The hosts listed in it are recorded at once.
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -228,8 +228,8 @@
         if ranked[0] is not self.members.own:
             return MAX_READ_DELAY_SECONDS
         own = self.members.own.region
-        place = sum(one < own for one in self.members.regions(now))
-        return min(MAX_READ_DELAY_SECONDS, place * REGION_READ_DELAY_SECONDS)
+        rank = sum(one < own for one in self.members.regions(now))
+        return min(MAX_READ_DELAY_SECONDS, rank * REGION_READ_DELAY_SECONDS)
 
     def record_state(self):
         """Log when keys start or stop being refused."""
@@ -248,8 +248,8 @@
         if member is self.members.own:
             return
         stamp = math.floor(self.view.clock() * 1000)
-        question = ViewAsk(self.members.own.name, stamp)
-        self.datagrams.send(question, member.control)
+        request = ViewAsk(self.members.own.name, stamp)
+        self.datagrams.send(request, member.control)
 
     def handle_request(self, message):
         """Send another host the age of this host's view."""
@@ -259,8 +259,8 @@
         if self.view.confirmed_at is NOTHING:
             return
         age = math.ceil(self.view.age * 1000)
-        answer = ViewAnswer(message.stamp, age, self.keeper.version)
-        self.datagrams.send(answer, member.control)
+        response = ViewAnswer(message.stamp, age, self.keeper.version)
+        self.datagrams.send(response, member.control)
         first = self.members.placers(self.clock.seconds())[0]
         if first is self.members.own and not self.view.can_deny:
             self.verify()
