--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -152,7 +152,9 @@
         else:
             known = self.members.is_known(ip)
         if not known:
-            self.timeline.note(EventKind.PEER_REFUSED, why=f"from {ip}")
+            self.timeline.note(
+                EventKind.PEER_REFUSED, why=f"unexpected sender {ip}"
+            )
             return
         self.handlers[type(message)](message)
 
@@ -204,14 +206,14 @@
 
     def send_rosters(self, reporting, now):
         """Send rosters to the hosts that rely on this one for them."""
-        wanting = [one for one in reporting if one.wants is Report.ROSTERS]
+        recipients = [one for one in reporting if one.wants is Report.ROSTERS]
         regions = []
         if self.heartbeats_sent % ROSTER_INTERVAL_HEARTBEATS == 0:
             regions.append(self.members.own.region)
         if self.heartbeats_sent % REMOTE_INTERVAL_HEARTBEATS == 1:
             regions += self.other_regions()
-        for region in regions if wanting else ():
-            self.send_in_batches(self.rosters.roster(region, now), wanting)
+        for region in regions if recipients else ():
+            self.send_in_batches(self.rosters.roster(region, now), recipients)
 
     def other_regions(self):
         """Return the other regions of which at least one host is known."""
@@ -234,15 +236,15 @@
     def send_in_batches(self, message, members):
         """Send a message to hosts of the region, a few at a time."""
         for first in range(0, len(members), SEND_BATCH_HOSTS):
-            some = members[first : first + SEND_BATCH_HOSTS]
+            batch = members[first : first + SEND_BATCH_HOSTS]
             if not first:
-                self.datagrams.send_all(message, some)
+                self.datagrams.send_all(message, batch)
                 continue
             self.clock.callLater(
                 SEND_BATCH_PAUSE_SECONDS * first / SEND_BATCH_HOSTS,
                 self.datagrams.send_all,
                 message,
-                some,
+                batch,
             )
 
     def choose_remote_contacts(self, regions, now):
@@ -271,8 +273,8 @@
         if member is None:
             return
         self.datagrams.send(self.heartbeat(), member.control)
-        far = member.region != self.members.own.region
-        if far and self.is_placing(self.clock.seconds()):
+        is_remote = member.region != self.members.own.region
+        if is_remote and self.is_placing(self.clock.seconds()):
             self.datagrams.send(self.load_report(), member.control)
 
     def heartbeat(self, report=Report.NONE, placements=None):
@@ -382,13 +384,13 @@
         It keeps serving for only slightly longer than callers cache an answer
         of the directory, so the directory must stop naming it immediately.
         """
-        wanting = [
+        recipients = [
             one
             for one in self.members.reporting(now)
             if one.wants is Report.ROSTERS
         ]
         self.send_in_batches(
-            self.rosters.single_host_roster(member, now), wanting
+            self.rosters.single_host_roster(member, now), recipients
         )
 
     def handle_roster(self, message):
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -13,16 +13,16 @@
 __all__ = [
     "MAX_REMOVALS",
     "Changes",
-    "StoreContact",
-    "PrefixWatcher",
     "HistoryLostError",
     "Mirror",
+    "PrefixWatcher",
     "Removal",
+    "StoreContact",
 ]
 
 WATCH_WAIT_SECONDS = 12.0
-"""Time for which a watch call waits for changes. Each call is billed, and TCP
-keepalive probes detect a dead connection well before this time."""
+"""Time for which a watch call waits for changes. Each call is billed, and a
+silent connection is detected by its own probes well before this time."""
 
 WATCH_PAUSE_SECONDS = 0.2
 """Pause between a watch answer with changes and the next call. Changes come in
--- a/src/hyssopspring/entry/provenance.py
+++ b/src/hyssopspring/entry/provenance.py
@@ -5,7 +5,7 @@
 
 from ..core.sentinels import NOTHING
 
-__all__ = ["Origin", "Provenance", "Channel"]
+__all__ = ["Channel", "Origin", "Provenance"]
 
 STORE = "store"
 NEVER_AGE_SECONDS = 1e6
--- a/src/hyssopspring/entry/storesync.py
+++ b/src/hyssopspring/entry/storesync.py
@@ -19,7 +19,7 @@
 
 __all__ = ["StoreSync"]
 
-LEASE_SECONDS = 9.0
+HOST_LEASE_SECONDS = 9.0
 """Lease on a host's entry, after which the store drops a host that is gone."""
 
 RENEW_INTERVAL_SECONDS = 2.5
@@ -267,7 +267,7 @@
         if self.replication.is_behind(
             watcher.watch_started_at, BEHIND_SECONDS
         ):
-            watcher.restart("another host has more")
+            watcher.restart("another host has a newer configuration")
 
     async def probe(self, watcher):
         """Ask a replica of the store for changes that a watch may lack."""
@@ -498,7 +498,9 @@
             self.lease = NOTHING
         if self.state.members.own.leaving:
             return
-        seconds = max(LEASE_SECONDS, self.state.settings.min_lease_seconds)
+        seconds = max(
+            HOST_LEASE_SECONDS, self.state.settings.min_lease_seconds
+        )
         lease = await self.store.grant_lease(seconds)
         own = self.state.members.own
         key = MEMBERS_PREFIX + own.name
