--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -38,7 +38,7 @@
 
 ROSTER_INTERVAL_HEARTBEATS = 2
 """Heartbeat intervals between two rosters of the own region. A host that is
-leaving is announced at once, outside this interval."""
+shutting down is announced at once, outside this interval."""
 
 REMOTE_INTERVAL_HEARTBEATS = 4
 """Heartbeat intervals between two rosters of, or to, another region."""
@@ -379,7 +379,7 @@
             self.handle_placements(message, now)
 
     def announce_leaving(self, member, now):
-        """Announce at once that a host is about to leave.
+        """Announce at once that a host is shutting down.
 
         It keeps serving for only slightly longer than callers cache an answer
         of the directory, so the directory must stop naming it immediately.
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -383,8 +383,7 @@
         store drops its history, watches do not receive the changes made in
         the meantime, and a watch that resumes from the previous revision waits
         until the next change although it has missed some. Requests would then
-        be handled with an old configuration, or go to servers that are
-        leaving.
+        be handled with an old configuration, or go to draining servers.
         """
         if self.after_revision is NOTHING:
             outage = self.contact.recovering
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -424,7 +424,8 @@
         A request body must not reach a region that is neither the caller's nor
         a home region of its route. The result is therefore the hosts of the
         caller's region; failing these, the hosts of the home regions of the
-        name's routes; failing these, hosts that are leaving but still serve.
+        name's routes; failing these, hosts that are shutting down but still
+        serve.
 
         Args:
             name: Host name that the caller wants to reach.
@@ -459,9 +460,9 @@
     async def stop(self):
         """Stop gracefully, without aborting requests in progress.
 
-        The host is reported as leaving at once. It keeps serving callers that
-        still have its address, then refuses new requests and ends as soon as
-        none is in progress, so that its successor can start early.
+        The host is reported as shutting down at once. It keeps serving
+        callers that still have its address, then refuses new requests and ends
+        as soon as none is in progress, so that its successor can start early.
         """
         if self.members.own.leaving:
             return
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -157,7 +157,7 @@
 def test_a_watch_that_brought_nothing_is_followed_by_a_listing(
     follow, recorder
 ):
-    """Guards against requests to a server that is leaving.
+    """Guards against requests to a draining server.
 
     The wait of a watch ends while watches receive nothing. Its answer names a
     revision beyond a change that it does not contain, and a watch that resumes
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -137,7 +137,7 @@
 
 
 def test_a_host_that_leaves_is_named_no_more(network):
-    """Guards against callers that are sent to a host that is about to end."""
+    """Guards against callers that are sent to a host that is shutting down."""
     leaving = network.hosts["north-30"]
     leaving.members.own.leaving = True
     leaving.membership.send_heartbeats()
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -65,7 +65,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_silent_watches_hide_no_server_that_leaves(proxied_hosts):
-    """Guards against requests to a server that is about to end."""
+    """Guards against requests to a draining server."""
     await watching(proxied_hosts)
     for proxy in proxied_hosts.proxies.values():
         proxy.silence(is_watch)
