--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -5,15 +5,15 @@
 
 from hyssopspring.entry.messages import (
     Heartbeat,
-    OpenTicket,
+    PlacementRow,
+    RegionLoadMessage,
+    ServerCapacityRow,
     ServiceLoad,
-    Summary,
-    ToldRoom,
     decode_message,
     encode_message,
 )
-from hyssopspring.traffic.decisions import Ask
-from hyssopspring.traffic.members import Member, Members, Report
+from hyssopspring.traffic.decisions import PlacementQuery
+from hyssopspring.traffic.members import Member, Members, Subscription
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
 from hyssopspring.traffic.servers import Registry, ServerEntry
@@ -40,7 +40,7 @@
 def heartbeat(tickets):
     """Return a heartbeat that names *tickets* requests."""
     rows = [
-        OpenTicket(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
+        PlacementRow(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
         for n in range(tickets)
     ]
     return Heartbeat(
@@ -57,7 +57,7 @@
         0.4,
         7,
         (500, 510),
-        Report.ROSTERS,
+        Subscription.ROSTERS,
         rows,
     )
 
@@ -71,10 +71,12 @@
         print(f"heartbeat, {tickets} requests: {len(data)} B, {spent:.1f} us")
     for services in (2, 10, 34):
         loads = {
-            f"s{n}": ServiceLoad(48, [ToldRoom([100, 150, 200], 50, 9000)] * 4)
+            f"s{n}": ServiceLoad(
+                48, [ServerCapacityRow([100, 150, 200], 50, 9000)] * 4
+            )
             for n in range(services)
         }
-        data = encode_message(Summary("dar", loads))
+        data = encode_message(RegionLoadMessage("dar", loads))
         spent = best(lambda data=data: decode_message(data), 500)
         print(f"summary, {services} services: {len(data)} B, {spent:.1f} us")
 
@@ -101,16 +103,16 @@
         lambda now: {"north"},
     )
     for n in range(servers * tickets):
-        placer.place(make_ask(n), 0.0)
-    for key in list(placer.tickets):
+        placer.place(make_query(n), 0.0)
+    for key in list(placer.placements):
         placer.note_start(*key, 0.1, 0.1)
     return placer
 
 
-def make_ask(number):
+def make_query(number):
     """Return the ask of one request."""
     parts = ((f"a{number % 4}", 2520), (f"b{number % 100}", 3780))
-    return Ask(
+    return PlacementQuery(
         host="h",
         number=number,
         service="engine",
@@ -127,10 +129,10 @@
     for servers in (5, 35, 70, 135):
         for tickets in (0, 16):
             placer = make_placer(servers, tickets)
-            ask = make_ask(1_000_000)
+            query = make_query(1_000_000)
 
-            def work(placer=placer, ask=ask):
-                placer.place(ask, 1.0)
+            def work(placer=placer, query=query):
+                placer.place(query, 1.0)
 
             spent = best(work, 200)
             print(f"place, {servers} servers of {tickets}: {spent:.0f} us")
@@ -141,9 +143,9 @@
     for hosts in (3, 20, 90):
         members = Members(make_member(0))
         for n in range(1, hosts):
-            members.learn(make_member(n))
+            members.add(make_member(n))
         for member in members.others.values():
-            member.heard_at = 1.0
+            member.last_heartbeat_at = 1.0
         spent = best(lambda members=members: members.placers(1.1), 200)
         print(f"rank {hosts} hosts: {spent:.0f} us")
 
--- a/src/hyssopspring/entry/admission.py
+++ b/src/hyssopspring/entry/admission.py
@@ -1,32 +1,32 @@
-"""Whether a caller may ask for a route, and with which rights."""
+"""Whether a caller may use a route, and with which permissions."""
 
 from dataclasses import dataclass
 
 from ..core.outcomes import Reason
 from ..core.sentinels import INVALID, NOTHING
 
-__all__ = ["Barred", "Rights", "rights_of"]
+__all__ = ["Denied", "Permissions", "authorize"]
 
 UNAUTHORIZED = 401
 BAD_REQUEST = 400
 UNAVAILABLE = 503
 
-UNVERIFIED_RETRY = 0.2
-"""Seconds after which a caller may come back whose key could not be
-believed; other hosts can serve it, and this one within that time once it
-reaches another again."""
+UNVERIFIED_RETRY_SECONDS = 0.2
+"""Retry-After of a request whose key cannot be checked against a configuration
+that is known to be current. Other hosts can serve it at once, and this host
+can within this time after it reaches another host again."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Rights:
-    """What a request may do.
+class Permissions:
+    """What a request is permitted to do.
 
     Attributes:
         workspace: Name of the caller's workspace; empty on a public route.
         priority: Rank of the request; 0 is the highest.
-        homes: Regions that may serve it; empty for all.
-        cost: Tokens that it takes from the limit of its workspace; 0 if
-            there is none.
+        homes: Regions that may serve it; empty for all regions.
+        cost: Tokens that it takes from the limit of its workspace; 0 if the
+            workspace has no limit.
     """
 
     workspace: str = ""
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
-    """The request ends before any attempt.
+class Denied:
+    """Refusal of a request before any attempt.
 
     Attributes:
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
         reason: The `Reason`.
-        retry_after: Seconds after which it may come back, or `NOTHING` if
-            that would be in vain.
+        retry_after: Seconds after which to retry, or `NOTHING` if a retry
+            would be refused as well.
     """
 
     status: int
@@ -51,47 +51,47 @@
     retry_after: object = NOTHING
 
 
-def rights_of(configuration, route, facts, *, confirmed=True):
-    """Return the `Rights` of a request, or why it is `Barred`.
+def authorize(configuration, route, metadata, *, confirmed=True):
+    """Return the `Permissions` of a request, or why it is `Denied`.
 
     Args:
         configuration: The `Configuration` in force.
-        route: The `Route` that it asks for.
-        facts: Its `CallerFacts`.
-        confirmed: Whether the configuration is known to be the newest one
-            as surely as keys demand.
+        route: The `Route` of the request.
+        metadata: Its `RequestMetadata`.
+        confirmed: Whether the configuration is confirmed as current recently
+            enough to check keys against it.
     """
     if not configuration.needs_key(route):
-        return Rights(priority=route.priority, homes=route.homes)
+        return Permissions(priority=route.priority, homes=route.homes)
     if not confirmed:
-        return Barred(UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_RETRY)
-    workspace = configuration.workspace_of(facts.key_digest)
+        return Denied(UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_RETRY_SECONDS)
+    workspace = configuration.workspace_of(metadata.key_digest)
     if workspace is NOTHING:
-        return Barred(UNAUTHORIZED, Reason.UNKNOWN_WORKSPACE)
+        return Denied(UNAUTHORIZED, Reason.UNKNOWN_WORKSPACE)
     homes = route.homes or workspace.homes
     if route.homes and workspace.homes:
         homes = route.homes & workspace.homes
         if not homes:
-            return Barred(UNAVAILABLE, Reason.RESIDENCY)
-    cost = cost_of(workspace, facts)
+            return Denied(UNAVAILABLE, Reason.RESIDENCY)
+    cost = token_cost(workspace, metadata)
     if cost is INVALID:
-        return Barred(BAD_REQUEST, Reason.BAD_REQUEST)
+        return Denied(BAD_REQUEST, Reason.BAD_REQUEST)
     priority = workspace.priority
     if priority is NOTHING:
         priority = route.priority
-    return Rights(
+    return Permissions(
         workspace=workspace.name, priority=priority, homes=homes, cost=cost
     )
 
 
-def cost_of(workspace, facts):
+def token_cost(workspace, metadata):
     """Return the tokens that a request takes from its workspace's limit.
 
-    One that states nonsense is refused: to count it as nothing, or as
-    little, would let its workspace ask for any amount.
+    A request with an invalid token count is refused. If it counted as zero, or
+    as a small number, its workspace could consume any amount.
     """
     if workspace.limit is NOTHING:
         return 0
-    if facts.tokens is INVALID and not workspace.limit.by_request:
+    if metadata.tokens is INVALID and not workspace.limit.counts_requests:
         return INVALID
-    return workspace.limit.count(facts.tokens)
+    return workspace.limit.count(metadata.tokens)
--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -12,41 +12,41 @@
 
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
-from ..traffic.evidence import Finding
+from ..traffic.serverhealth import AttemptResult
 
 __all__ = [
-    "Answer",
+    "BufferedResponse",
     "Attempt",
-    "Head",
-    "Sending",
+    "ResponseHead",
+    "OutgoingRequest",
     "silence_limit",
     "split_events",
 ]
 
-LONGEST_ANSWER = 16 * 1024 * 1024
-"""Bytes of the longest answer that is held whole in memory."""
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Maximum size of a response that is buffered whole in memory."""
 
-SILENT_SECONDS = 0.9
-SILENT_FACTOR = 3.0
-"""A server that has not begun after three times the predicted time, and
-this many seconds at least, is taken as silent."""
+MIN_SILENCE_SECONDS = 0.9
+SILENCE_FACTOR = 3.0
+"""A server counts as silent if its response has not started after three times
+the predicted time, and after `MIN_SILENCE_SECONDS` at least."""
 
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sending:
-    """What an attempt sends.
+class OutgoingRequest:
+    """Request that an attempt sends.
 
     Attributes:
-        id: Identifier of the request, which the answer must echo.
+        id: Identifier of the request, which the response must echo.
         method: HTTP method.
         uri: Path and query.
-        headers: `Headers` to send, a Host among them.
-        body: The body, maybe empty.
-        stream: Whether a success is a series of events.
-        repeatable: Whether a kept connection may be used.
-        key_digest: Digest of the caller's key, which is not sent, or "".
+        headers: `Headers` to send, including a Host header.
+        body: The body, possibly empty.
+        stream: Whether a successful response is a stream of events.
+        repeatable: Whether a pooled connection may be used.
+        key_digest: Digest of the caller's key, or ""; the key is not sent.
     """
 
     id: bytes
@@ -60,66 +60,68 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
-    """What the head of an answer says, decoded.
+class ResponseHead:
+    """Decoded head of a response.
 
     Attributes:
-        not_run: Whether the server says that it did not run the request.
-        misdirected: Whether another server has the address.
-        echo: Identifier of the request that it answers, or `NOTHING`.
-        stamped: Whether it bears the server's signature.
-        retry_after: Seconds after which to come back, `INVALID` if that
-            cannot be read, or `NOTHING`.
-        server_id: Server that gave it, if a relaying host tells.
+        not_run: Whether the server states that it did not run the request.
+        misdirected: Whether the address belongs to another server now.
+        echoed_id: Identifier of the request to which it responds, or
+            `NOTHING`.
+        signed: Whether it carries the server's signature.
+        retry_after: Seconds after which to retry, `INVALID` if the value
+            cannot be parsed, or `NOTHING`.
+        server_id: Server that produced it, if a relaying host names it.
         reason: `Reason` that a relaying host gives, or `NOTHING`.
-        limit: Requests a second that the server takes from all hosts
-            together, `INVALID` if that cannot be read, or `NOTHING`.
-        leaving: Whether the server says that it leaves, or `INVALID`.
-        turned_away: Whether the server has turned the request away; a time
-            to come back is then a rest that it asks this host for.
+        limit: Requests a second that the server accepts from all hosts
+            together, `INVALID` if the value cannot be parsed, or `NOTHING`.
+        leaving: Whether the server announces that it is leaving, or `INVALID`.
+        rejected: Whether the server has rejected the request. A Retry-After
+            value then asks this host to pause its requests to the server.
     """
 
     not_run: bool = False
     misdirected: bool = False
-    echo: object = NOTHING
-    stamped: bool = False
+    echoed_id: object = NOTHING
+    signed: bool = False
     retry_after: object = NOTHING
     server_id: str = ""
     reason: object = NOTHING
     limit: object = NOTHING
     leaving: object = False
-    turned_away: bool = False
+    rejected: bool = False
 
     @property
-    def is_of_server(self):
-        """Whether the server that was asked has given the answer.
+    def is_from_server(self):
+        """Whether the response comes from the server that was asked.
 
-        Bytes that are no answer bear no signature, and what another server
-        says under the same address does not concern the one that was asked.
+        Data that is no valid response carries no signature, and the statements
+        of another server at the same address do not concern the one that was
+        asked.
         """
-        return (self.stamped or self.not_run) and not self.misdirected
+        return (self.signed or self.not_run) and not self.misdirected
 
 
 @dataclass(slots=True, eq=False)
-class Answer:
-    """A whole answer that was not passed on yet.
+class BufferedResponse:
+    """Complete response that has not been forwarded yet.
 
     Attributes:
         status: HTTP status.
-        headers: Names and values to pass on.
+        headers: Names and values to forward.
         body: The body.
-        head: The `Head`.
+        head: The `ResponseHead`.
     """
 
     status: int
     headers: list
     body: bytes
-    head: Head = field(default_factory=Head)
+    head: ResponseHead = field(default_factory=ResponseHead)
 
 
 @implementer(IBodyProducer)
-class WholeBody:
-    """A body that is written in one go, and knows whether it was."""
+class BytesProducer:
+    """Write a request body at once and record that it was written."""
 
     def __init__(self, body):
         self.body = body
@@ -127,19 +129,19 @@
         self.written = False
 
     def startProducing(self, consumer):
-        """Write all of it."""
+        """Write the whole body."""
         self.written = True
         consumer.write(self.body)
         return defer.succeed(None)
 
     def pauseProducing(self):
-        """Do nothing; all is written."""
+        """Do nothing, since the whole body has been written."""
 
     def resumeProducing(self):
-        """Do nothing; all is written."""
+        """Do nothing, since the whole body has been written."""
 
     def stopProducing(self):
-        """Do nothing; all is written."""
+        """Do nothing, since the whole body has been written."""
 
 
 class Attempt:
@@ -147,122 +149,125 @@
 
     Args:
         connections: The `Connections`.
-        lane: `Lane` to the server or host.
-        sending: The `Sending`.
-        read_head: Called with status and `Headers`; returns the `Head`.
+        endpoint: `Endpoint` of the server or host.
+        outgoing: The `OutgoingRequest`.
+        read_head: Called with status and `Headers`; returns the
+            `ResponseHead`.
         clock: The runtime's clock.
-        opened: Called with the `Answer` without a body when a stream
-            begins; returns the function that takes its whole events.
-        started: Called when the head of an answer has come, or the first
-            event of a stream.
-        heard: Called with the `Head` of an answer that the server itself
-            has given.
+        on_stream: Called with a `BufferedResponse` without a body when a
+            stream starts; returns the function that takes its complete events.
+        on_first_data: Called when a complete response, or the first event of a
+            stream, has been received.
+        on_head: Called with the `ResponseHead` of a response that comes from
+            the server itself.
     """
 
     def __init__(
         self,
         connections,
-        lane,
-        sending,
+        endpoint,
+        outgoing,
         read_head,
         clock,
         *,
-        opened,
-        started,
-        heard=lambda head: None,
+        on_stream,
+        on_first_data,
+        on_head=lambda head: None,
     ):
         self.connections = connections
-        self.lane = lane
-        self.sending = sending
+        self.endpoint = endpoint
+        self.outgoing = outgoing
         self.read_head = read_head
         self.clock = clock
-        self.opened = opened
-        self.started = started
-        self.heard = heard
+        self.on_stream = on_stream
+        self.on_first_data = on_first_data
+        self.on_head = on_head
         self.connection = NOTHING
         self.sent = False
-        self.answer = NOTHING
-        self.finding = Finding.CANCELLED
+        self.buffered_response = NOTHING
+        self.finding = AttemptResult.CANCELLED
         self.events = 0
-        self.first_seen = False
-        self.first_at = NOTHING
-        self.headed = False
+        self.first_data_received = False
+        self.first_data_at = NOTHING
+        self.head_received = False
         self.sent_at = 0.0
         self.ended_at = 0.0
         self.abandon_reason = NOTHING
         self.was_silent = False
         self.cause = ""
-        self.work = NOTHING
+        self.deferred = NOTHING
 
     def run(self):
         """Start the attempt; return a deferred of its outcome."""
-        self.work = defer.ensureDeferred(self.carry_out())
-        self.work.addErrback(self.failed)
-        return self.work
+        self.deferred = defer.ensureDeferred(self.carry_out())
+        self.deferred.addErrback(self.handle_failure)
+        return self.deferred
 
     @property
     def in_progress(self):
-        """Whether it has begun and not ended, sent or not."""
-        return self.work is not NOTHING and not self.work.called
+        """Whether it has started and not ended, sent or not."""
+        return self.deferred is not NOTHING and not self.deferred.called
 
     @property
-    def broke_off(self):
-        """Whether the other side ended it before it was answered whole."""
+    def broken_by_peer(self):
+        """Whether the other side ended it before the response was complete."""
         if not self.sent or self.abandon_reason is not NOTHING:
             return False
         return bool(self.cause)
 
     @property
     def ran_for(self):
-        """Seconds from when it was sent to when it broke off."""
+        """Seconds from sending the request to its failure."""
         return self.ended_at - self.sent_at
 
     @property
     def begun_for(self):
-        """Seconds from the first of its answer to its end, or `NOTHING`."""
-        if self.first_at is NOTHING:
+        """Seconds from the first response data to its end, or `NOTHING`."""
+        if self.first_data_at is NOTHING:
             return NOTHING
-        return self.ended_at - self.first_at
+        return self.ended_at - self.first_data_at
 
     def abandon(self, reason, *, silent=False):
-        """Give the attempt up and close its connection.
+        """Cancel the attempt and close its connection.
 
-        The close makes the server stop work that nobody waits for.
+        The close makes the server stop work for which nobody waits.
 
         Args:
             reason: The `Reason`.
-            silent: Whether the server was silent for too long by then.
+            silent: Whether the server had been silent for too long by then.
         """
-        if self.abandon_reason is not NOTHING or self.work is NOTHING:
+        if self.abandon_reason is not NOTHING or self.deferred is NOTHING:
             return
         self.abandon_reason = reason
         self.was_silent = silent
-        self.work.cancel()
+        self.deferred.cancel()
         if self.connection is not NOTHING:
             self.connection.transport.abortConnection()
 
     async def carry_out(self):
-        """Send the request and take the answer."""
+        """Send the request and receive the response."""
         self.connection = await self.connections.open(
-            self.lane, kept=self.sending.repeatable
+            self.endpoint, reuse=self.outgoing.repeatable
         )
         response = await self.request()
-        self.headed = True
+        self.head_received = True
         head = self.read_head(response.code, response.headers)
-        self.check_echo(head)
-        if head.is_of_server:
-            self.heard(head)
-        if self.sending.stream and response.code == 200:
-            return await self.take_stream(response, head)
-        return await self.take_whole(response, head)
+        self.check_echoed_id(head)
+        if head.is_from_server:
+            self.on_head(head)
+        if self.outgoing.stream and response.code == 200:
+            return await self.forward_stream(response, head)
+        return await self.receive_response(response, head)
 
     def request(self):
-        """Write the request; return a deferred of the answer's head."""
-        body = WholeBody(self.sending.body) if self.sending.body else None
+        """Write the request; return a deferred of the response's head."""
+        body = (
+            BytesProducer(self.outgoing.body) if self.outgoing.body else None
+        )
         request = ClientRequest(
-            self.sending.method,
-            self.sending.uri,
-            self.sending.headers,
+            self.outgoing.method,
+            self.outgoing.uri,
+            self.outgoing.headers,
             body,
             persistent=True,
         )
@@ -270,51 +275,54 @@
         self.sent_at = self.clock.seconds()
         return self.connection.request(request)
 
-    def check_echo(self, head):
-        """Check that the answer is to this request.
+    def check_echoed_id(self, head):
+        """Check that the response belongs to this request.
 
-        A server may send a second answer to an earlier request of the
-        connection; taken for the answer to this one, a caller would get
-        someone else's data.
+        A server may send a second response to an earlier request of the
+        connection. If that were taken for the response to this request, a
+        caller would receive another caller's data.
 
         Raises:
-            _WrongAnswer: It is someone else's.
+            _InvalidResponse: It belongs to another request.
         """
-        if head.echo is not NOTHING and head.echo != self.sending.id:
-            raise _WrongAnswer
-
-    def first(self):
-        """Tell once that the answer has begun."""
-        if not self.first_seen:
-            self.first_seen = True
-            self.first_at = self.clock.seconds()
-            self.started()
-
-    async def take_whole(self, response, head):
-        """Hold the whole answer and judge it."""
-        body = await self.read(response, Collector(LONGEST_ANSWER))
-        self.answer = Answer(
-            response.code, passed_headers(response), body, head
+        if (
+            head.echoed_id is not NOTHING
+            and head.echoed_id != self.outgoing.id
+        ):
+            raise _InvalidResponse
+
+    def note_first_data(self):
+        """Report once that the response has started."""
+        if not self.first_data_received:
+            self.first_data_received = True
+            self.first_data_at = self.clock.seconds()
+            self.on_first_data()
+
+    async def receive_response(self, response, head):
+        """Buffer the whole response and classify it."""
+        body = await self.read(response, BodyCollector(MAX_RESPONSE_BYTES))
+        self.buffered_response = BufferedResponse(
+            response.code, forwarded_headers(response), body, head
         )
         if head.misdirected:
-            self.finding = Finding.MISDIRECTED
+            self.finding = AttemptResult.MISDIRECTED
             return NotRun(Reason.REFUSED)
         if head.not_run:
-            self.finding = Finding.FULL
+            self.finding = AttemptResult.FULL
             return self.refusal(head)
-        if not head.stamped and response.code < 300:
-            raise _WrongAnswer
-        self.first()
-        self.finding = Finding.ANSWERED
+        if not head.signed and response.code < 300:
+            raise _InvalidResponse
+        self.note_first_data()
+        self.finding = AttemptResult.ANSWERED
         if response.code >= 500:
-            self.finding = Finding.ERROR
+            self.finding = AttemptResult.ERROR
         return Answered(response.code)
 
     def refusal(self, head):
         """Return the `NotRun` that the other side states.
 
-        A server's own time to come back is meant for this host, not for
-        its callers, whom others may serve.
+        A Retry-After value of a server is meant for this host and not for its
+        callers, as other servers may accept their requests.
         """
         if head.reason is NOTHING:
             return NotRun(Reason.REFUSED)
@@ -322,78 +330,82 @@
             return NotRun(head.reason)
         return NotRun(head.reason, head.retry_after)
 
-    async def take_stream(self, response, head):
-        """Pass whole events on as they come."""
-        if not head.stamped:
-            raise _WrongAnswer
-        answer = Answer(response.code, passed_headers(response), b"", head)
-        write = self.opened(answer, response)
+    async def forward_stream(self, response, head):
+        """Forward complete events as they arrive."""
+        if not head.signed:
+            raise _InvalidResponse
+        buffered_response = BufferedResponse(
+            response.code, forwarded_headers(response), b"", head
+        )
+        write = self.on_stream(buffered_response, response)
 
-        def take(events):
-            self.first()
+        def on_events(events):
+            self.note_first_data()
             self.events += 1
             write(events)
 
-        await self.read(response, _EventReader(take))
-        self.finding = Finding.ANSWERED
+        await self.read(response, _EventReader(on_events))
+        self.finding = AttemptResult.ANSWERED
         return Answered(response.code)
 
     async def read(self, response, reader):
         """Read a body to its end.
 
         Raises:
-            _Truncated: It ended early.
+            _TruncatedResponse: It ended early.
         """
         response.deliverBody(reader)
         await reader.done
         reason = reader.reason
         if reason.check(ResponseDone):
             return reader.body
-        if reason.check(PotentialDataLoss) and self.closed_in_order():
+        if reason.check(PotentialDataLoss) and self.closed_cleanly():
             return reader.body
-        raise _Truncated
+        raise _TruncatedResponse
 
-    def closed_in_order(self):
-        """Whether the other side closed the connection, not reset it."""
+    def closed_cleanly(self):
+        """Whether the other side closed the connection without a reset."""
         lost = self.connection.lost_reason
         return lost is not NOTHING and bool(lost.check(error.ConnectionDone))
 
-    def failed(self, failure):
-        """Return the outcome that a failure allows to claim."""
+    def handle_failure(self, failure):
+        """Return the outcome that can be concluded from a failure."""
         self.cause = repr(failure.value)
         self.ended_at = self.clock.seconds()
         if self.connection is not NOTHING:
             self.connection.transport.abortConnection()
         if self.abandon_reason is not NOTHING:
             if self.was_silent:
-                self.finding = Finding.SILENT
-                # What silenced this connection may have silenced others.
-                self.connections.forget(self.lane.key, before=self.sent_at)
+                self.finding = AttemptResult.SILENT
+                # Its other idle connections may be unusable for this reason.
+                self.connections.close_idle(
+                    self.endpoint.key, before=self.sent_at
+                )
             outcome = Unknown if self.sent else NotRun
             return outcome(self.abandon_reason)
         if not self.sent:
-            self.finding = Finding.UNREACHED
+            self.finding = AttemptResult.UNREACHED
             return NotRun(Reason.CONNECT)
-        if failure.check(_WrongAnswer):
-            self.finding = Finding.ERROR
+        if failure.check(_InvalidResponse):
+            self.finding = AttemptResult.ERROR
             return Unknown(Reason.BAD_ANSWER)
-        if failure.check(_Truncated):
-            self.finding = Finding.ERROR
+        if failure.check(_TruncatedResponse):
+            self.finding = AttemptResult.ERROR
             return Unknown(Reason.TRUNCATED)
-        self.finding = Finding.SILENT
+        self.finding = AttemptResult.SILENT
         return Unknown(Reason.CONNECTION_LOST)
 
 
-class _WrongAnswer(Exception):  # noqa: N818 - never leaves this module
-    """The answer is not one to this request."""
+class _InvalidResponse(Exception):  # noqa: N818 - never leaves this module
+    """The response is not a valid one to this request."""
 
 
-class _Truncated(Exception):  # noqa: N818 - never leaves this module
-    """The answer ended before its end."""
+class _TruncatedResponse(Exception):  # noqa: N818 - never leaves this module
+    """The response ended before it was complete."""
 
 
-class Collector(protocol.Protocol):
-    """Collect a body of limited length."""
+class BodyCollector(protocol.Protocol):
+    """Collect a body up to a maximum size."""
 
     def __init__(self, limit):
         self.limit = limit
@@ -404,66 +416,67 @@
 
     @property
     def body(self):
-        """What has come."""
+        """Body received so far."""
         return b"".join(self.parts)
 
     def dataReceived(self, data):
-        """Keep one part."""
+        """Store one part, and close the connection above the maximum size."""
         self.parts.append(data)
         self.size += len(data)
         if self.size > self.limit:
             self.transport.loseConnection()
 
     def connectionLost(self, reason):
-        """Tell how it ended."""
+        """Record how the body ended, and fire the deferred."""
         if not self.done.called:
             self.reason = reason
             self.done.callback(None)
 
     def cancel(self, done):
-        """Do nothing; whoever cancels closes the connection."""
+        """Do nothing; the code that cancels closes the connection."""
 
 
-class _EventReader(Collector):
-    """Pass on whole events of a stream.
+class _EventReader(BodyCollector):
+    """Forward complete events of a stream.
 
-    Only whole events go on, so that a stream that another server goes on
-    with neither repeats nor loses the event in which the first broke.
+    Only complete events are forwarded, so that a stream that is resumed at
+    another server neither repeats nor loses the event during which the first
+    server failed.
     """
 
-    def __init__(self, take):
-        super().__init__(LONGEST_ANSWER)
-        self.take = take
+    def __init__(self, on_events):
+        super().__init__(MAX_RESPONSE_BYTES)
+        self.on_events = on_events
         self.buffer = b""
 
     def dataReceived(self, data):
-        """Pass on what is whole."""
+        """Forward the events that are complete."""
         events, self.buffer = split_events(self.buffer + data)
         if events:
-            self.take(events)
+            self.on_events(events)
 
 
 def silence_limit(predicted):
-    """Return the seconds after which a server that has not begun is silent.
+    """Return the seconds after which a server counts as silent.
 
     Args:
-        predicted: Seconds in which it was to begin.
+        predicted: Predicted seconds to the start of the response.
     """
-    return max(SILENT_SECONDS, SILENT_FACTOR * predicted)
+    return max(MIN_SILENCE_SECONDS, SILENCE_FACTOR * predicted)
 
 
 def split_events(data):
-    """Return the whole events at the start of *data*, and the rest."""
-    cut = 0
-    for end in EVENT_ENDS:
-        found = data.rfind(end)
+    """Return the complete events at the start of *data*, and the rest."""
+    boundary = 0
+    for terminator in EVENT_TERMINATORS:
+        found = data.rfind(terminator)
         if found >= 0:
-            cut = max(cut, found + len(end))
-    return data[:cut], data[cut:]
+            boundary = max(boundary, found + len(terminator))
+    return data[:boundary], data[boundary:]
 
 
-def passed_headers(response):
-    """Return the headers of an answer that go to the caller."""
+def forwarded_headers(response):
+    """Return the headers of a response that are forwarded to the caller."""
     return [
         (name, value)
         for name, values in response.headers.getAllRawHeaders()
--- a/src/hyssopspring/entry/connections.py
+++ b/src/hyssopspring/entry/connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers and other hosts, and their reuse."""
+"""Pool of connections to backend servers and other hosts."""
 
 import math
 import socket
@@ -10,142 +10,148 @@
 from ..core.addresses import split_address
 from ..core.sentinels import NOTHING
 
-__all__ = ["Connections", "Connection", "set_liveness"]
+__all__ = ["Connections", "Connection", "enable_keepalive"]
 
-CONNECT_TIMEOUT = 0.35
-"""Seconds to open a connection within a region; a round trip takes less
-than 10 ms there, so one lost packet would already exceed it."""
+CONNECT_TIMEOUT_SECONDS = 0.35
+"""Timeout of opening a connection within a region. A round trip takes less
+than 10 ms there, so a retransmission after one lost packet already exceeds the
+timeout."""
 
-FAR_CONNECT_TIMEOUT = 0.8
-"""Seconds to open a connection to another region, 160 ms away."""
+REMOTE_CONNECT_TIMEOUT_SECONDS = 0.8
+"""Timeout of opening a connection to another region, where a round trip takes
+160 ms."""
 
-REUSE_MARGIN = 0.6
-"""Seconds before the announced end of an idle connection from which on it
-is not used, as its close may be on its way."""
+REUSE_MARGIN_SECONDS = 0.6
+"""Seconds before the announced end of an idle connection from which on it is
+not reused, as the other side may be closing it already."""
 
-UNANNOUNCED_IDLE = 0.0
-"""Seconds for which a connection is kept that announced no idle time."""
+UNANNOUNCED_IDLE_SECONDS = 0.0
+"""Seconds for which an idle connection is kept if the other side announced no
+idle timeout."""
 
-MOST_IDLE = 24
-"""Idle connections kept to one address; the newest are used first."""
+MAX_IDLE_CONNECTIONS = 24
+"""Maximum number of idle connections of one endpoint. The newest ones are
+reused first."""
 
-PROBE_AFTER = 1
-PROBE_EVERY = 1
-PROBES = 2
-UNACKNOWLEDGED_MS = 1500
-"""A peer that is cut off without a word shows after 1.5 s of unanswered
-bytes, or about 3 s of silence, instead of minutes."""
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
+KEEPALIVE_PROBES = 2
+USER_TIMEOUT_MS = 1500
+"""With these TCP options, a peer that becomes unreachable without closing its
+connections is detected after 1.5 s of unacknowledged data, or after about 3 s
+of silence, instead of minutes."""
 
 
 class Connection(HTTP11ClientProtocol):
-    """A connection that remembers how it ended and how long it may idle.
+    """Connection that records how it ended and how long it may be idle.
 
-    The HTTP client reports a reset and an orderly close alike when a body
-    has no announced length. Only the second makes such a body whole.
+    The HTTP client reports a reset and an orderly close alike when a body has
+    no announced length. Only an orderly close means that such a body is
+    complete.
     """
 
     def __init__(self, quiescent):
         super().__init__(quiescent)
         self.lost_reason = NOTHING
         self.idle_since = 0.0
-        self.idle_limit = UNANNOUNCED_IDLE
+        self.idle_limit = UNANNOUNCED_IDLE_SECONDS
         self.expiry = NOTHING
 
     def connectionMade(self):
-        """Make a silent death of the other side show."""
-        set_liveness(self.transport)
+        """Enable keepalive probes before the connection is used."""
+        enable_keepalive(self.transport)
         super().connectionMade()
 
     def connectionLost(self, reason):
-        """Keep the reason, then end as usual."""
+        """Store the reason, then handle the loss as usual."""
         self.lost_reason = reason
         super().connectionLost(reason)
 
     def announced_idle(self):
-        """Return the idle time that the answer's head announced."""
+        """Return the idle timeout that the head of the response announced."""
         parser = self._parser
         if parser is None:
-            return UNANNOUNCED_IDLE
+            return UNANNOUNCED_IDLE_SECONDS
         values = parser.connHeaders.getRawHeaders(b"keep-alive", ())
         for value in values:
             for item in value.split(b","):
                 name, _, number = item.strip().partition(b"=")
                 if name.lower() == b"timeout" and number.isdigit():
                     return float(number)
-        return UNANNOUNCED_IDLE
+        return UNANNOUNCED_IDLE_SECONDS
 
 
-def set_liveness(transport):
-    """Make the system probe the other side of a connection."""
+def enable_keepalive(transport):
+    """Enable TCP keepalive probes and the user timeout of a connection."""
     handle = transport.getHandle()
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for level, option, value in options:
         handle.setsockopt(level, option, value)
 
 
 @dataclass(frozen=True, slots=True)
-class Lane:
-    """Which kept connections may carry a request.
+class Endpoint:
+    """Destination of requests, and key of its pool of connections.
 
     Attributes:
-        key: Whom they lead to: a start of a server, or a host.
+        key: Identifier of the pool: a start of a server, or a host.
         address: ``ip:port``.
-        far: Whether it is in another region.
-        kept_for: Seconds for which an idle connection may be used, or
-            `NOTHING` to go by what its answers announce.
+        remote: Whether it is in another region.
+        keep_alive_seconds: Seconds for which an idle connection may be used,
+            or `NOTHING` to use the idle timeout that responses announce.
     """
 
     key: str
     address: str
-    far: bool = False
-    kept_for: object = NOTHING
+    remote: bool = False
+    keep_alive_seconds: object = NOTHING
 
 
-class _Connecting(protocol.ClientFactory):
+class _ConnectionFactory(protocol.ClientFactory):
     """Open one connection."""
 
     noisy = False
 
-    def __init__(self, made, quiescent):
-        self.made = made
+    def __init__(self, connected, quiescent):
+        self.connected = connected
         self.quiescent = quiescent
 
     def buildProtocol(self, addr):
-        """Return the connection once it is open."""
+        """Return the protocol of the new connection."""
         connection = Connection(self.quiescent)
         connection.factory = self
-        made, self.made = self.made, NOTHING
-        # The transport is attached when this function has returned.
-        if made is not NOTHING:
+        connected, self.connected = self.connected, NOTHING
+        # The transport is attached only after this function returns.
+        if connected is not NOTHING:
             original = connection.connectionMade
 
             def opened():
                 original()
-                made.callback(connection)
+                connected.callback(connection)
 
             connection.connectionMade = opened
         return connection
 
     def clientConnectionFailed(self, connector, reason):
-        """Tell that it could not be opened."""
-        made, self.made = self.made, NOTHING
-        if made is not NOTHING:
-            made.errback(reason)
+        """Report that the connection could not be opened."""
+        connected, self.connected = self.connected, NOTHING
+        if connected is not NOTHING:
+            connected.errback(reason)
 
 
 class Connections:
-    """Open connections, and keep idle ones for later requests.
+    """Open connections, and pool idle ones for later requests.
 
     Args:
         reactor: The reactor.
-        source: IP address that connections come from. A host may have
-            several; the others know it by this one.
+        source: IP address from which connections are opened. A host may have
+            several addresses; the other hosts identify it by this one.
     """
 
     def __init__(self, reactor, source):
@@ -155,27 +161,27 @@
         self.opened = 0
         self.unopened = 0
 
-    def open(self, lane, *, kept):
+    def open(self, endpoint, *, reuse):
         """Return a deferred of a `Connection`.
 
         Args:
-            lane: The `Lane`.
-            kept: Whether a kept connection may be used. A server may have
-                closed it a moment ago; a request that must not run twice
+            endpoint: The `Endpoint`.
+            reuse: Whether a pooled connection may be used. The server may have
+                closed it a moment ago, and a request that must not run twice
                 would then end with an unknown outcome.
         """
-        if kept:
-            connection = self.take_idle(lane)
+        if reuse:
+            connection = self.take_idle(endpoint)
             if connection is not NOTHING:
                 return defer.succeed(connection)
-        return self.connect(lane)
+        return self.connect(endpoint)
 
-    def take_idle(self, lane):
-        """Return the newest idle connection that is sound, or NOTHING."""
-        waiting = self.idle.get(lane.key, [])
+    def take_idle(self, endpoint):
+        """Return the newest usable idle connection, or `NOTHING`."""
+        idle = self.idle.get(endpoint.key, [])
         now = self.reactor.seconds()
-        while waiting:
-            connection = waiting.pop()
+        while idle:
+            connection = idle.pop()
             self.cancel_expiry(connection)
             if connection.state != "QUIESCENT":
                 continue
@@ -185,97 +191,105 @@
         return NOTHING
 
     def count(self, key):
-        """Return how many sound idle connections lead to *key*."""
-        waiting = self.idle.get(key, ())
-        return sum(one.state == "QUIESCENT" for one in waiting)
+        """Return the number of usable idle connections of *key*."""
+        idle = self.idle.get(key, ())
+        return sum(one.state == "QUIESCENT" for one in idle)
 
-    def prepare(self, lane):
+    def preconnect(self, endpoint):
         """Open a connection for a later request."""
-        made = self.connect(lane)
-        made.addCallbacks(
-            lambda connection: self.keep(lane, connection), self.not_opened
+        connected = self.connect(endpoint)
+        connected.addCallbacks(
+            lambda connection: self.keep(endpoint, connection),
+            self.count_unopened,
         )
 
-    def not_opened(self, failure):
-        """Count a connection that was not needed yet and did not open.
+    def count_unopened(self, failure):
+        """Count a connection that was opened in advance and failed.
 
-        Whoever needs one opens it again, and meets the failure itself.
+        A request that needs one opens a connection again and handles the
+        failure itself.
         """
         self.unopened += 1
 
-    def connect(self, lane):
+    def connect(self, endpoint):
         """Open a new connection."""
         self.opened += 1
-        made = defer.Deferred(lambda _: connector.disconnect())
-        factory = _Connecting(made, lambda one: self.keep(lane, one))
-        ip, port = split_address(lane.address)
-        timeout = FAR_CONNECT_TIMEOUT if lane.far else CONNECT_TIMEOUT
+        connected = defer.Deferred(lambda _: connector.disconnect())
+        factory = _ConnectionFactory(
+            connected, lambda one: self.keep(endpoint, one)
+        )
+        ip, port = split_address(endpoint.address)
+        timeout = (
+            REMOTE_CONNECT_TIMEOUT_SECONDS
+            if endpoint.remote
+            else CONNECT_TIMEOUT_SECONDS
+        )
         connector = self.reactor.connectTCP(
             ip, port, factory, timeout, bindAddress=(self.source, 0)
         )
-        return made
+        return connected
 
-    def is_refused(self, lane):
-        """Return a deferred that says whether nobody listens at *lane*.
+    def is_refused(self, endpoint):
+        """Return a deferred of whether *endpoint* refuses connections.
 
-        A connection that can be opened is kept like any other.
+        A connection that can be opened is added to the pool.
         """
-        made = self.connect(lane)
+        connected = self.connect(endpoint)
 
         def opened(connection):
-            self.keep(lane, connection)
+            self.keep(endpoint, connection)
             return False
 
         def failed(failure):
             return bool(failure.check(error.ConnectionRefusedError))
 
-        return made.addCallbacks(opened, failed)
+        return connected.addCallbacks(opened, failed)
 
-    def keep(self, lane, connection):
-        """Keep a connection whose answer has come whole."""
-        limit = lane.kept_for
+    def keep(self, endpoint, connection):
+        """Add a connection whose response is complete to the pool."""
+        limit = endpoint.keep_alive_seconds
         if limit is NOTHING:
             limit = connection.announced_idle()
-        limit -= REUSE_MARGIN
-        waiting = self.idle.setdefault(lane.key, [])
-        if limit <= 0 or len(waiting) >= MOST_IDLE:
+        limit -= REUSE_MARGIN_SECONDS
+        idle = self.idle.setdefault(endpoint.key, [])
+        if limit <= 0 or len(idle) >= MAX_IDLE_CONNECTIONS:
             connection.transport.loseConnection()
             return
         connection.idle_since = self.reactor.seconds()
         connection.idle_limit = limit
         connection.expiry = self.reactor.callLater(
-            limit, self.expire, lane.key, connection
+            limit, self.expire, endpoint.key, connection
         )
-        waiting.append(connection)
+        idle.append(connection)
 
     def expire(self, key, connection):
-        """Close a connection that has idled for too long."""
+        """Close a connection that has been idle for too long."""
         connection.expiry = NOTHING
-        waiting = self.idle.get(key, [])
-        if connection in waiting:
-            waiting.remove(connection)
-        if not waiting:
+        idle = self.idle.get(key, [])
+        if connection in idle:
+            idle.remove(connection)
+        if not idle:
             self.idle.pop(key, None)
         connection.transport.loseConnection()
 
     def cancel_expiry(self, connection):
-        """Stop the timer of a connection that is used again."""
+        """Cancel the expiry timer of a connection that is reused."""
         if connection.expiry is not NOTHING:
             connection.expiry.cancel()
             connection.expiry = NOTHING
 
-    def forget(self, key, *, before=math.inf):
+    def close_idle(self, key, *, before=math.inf):
         """Close idle connections to a server or host.
 
         Args:
-            key: Whom they lead to.
-            before: Time; those that were used since are kept.
+            key: Key of the endpoint.
+            before: Time; connections that became idle after it are kept.
         """
-        waiting = self.idle.pop(key, [])
-        kept = [one for one in waiting if one.idle_since > before]
+        idle = self.idle.pop(key, [])
+        kept = [one for one in idle if one.idle_since > before]
         if kept:
             self.idle[key] = kept
-        for connection in waiting:
+        for connection in idle:
             if connection not in kept:
                 self.cancel_expiry(connection)
                 connection.transport.loseConnection()
@@ -283,4 +297,4 @@
     def close(self):
         """Close all idle connections."""
         for key in list(self.idle):
-            self.forget(key)
+            self.close_idle(key)
--- /dev/null
+++ b/src/hyssopspring/entry/coordinator.py
@@ -0,0 +1,635 @@
+"""Query the placing host of the region for a server for each request."""
+
+from collections import deque
+from dataclasses import dataclass, replace
+
+from twisted.internet import defer
+
+from ..core.events import EventKind
+from ..core.sentinels import NOTHING
+from ..traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+    Refused,
+)
+from ..traffic.serverhealth import AttemptResult
+from ..traffic.servers import Usability
+from ..traffic.work import Demand
+from .limiting import RECENT_FALLBACK_SECONDS
+from .messages import (
+    AttemptEndedMessage,
+    AttemptStartedMessage,
+    PlacementGrantMessage,
+    PlacementQueryMessage,
+    PlacementRefusalMessage,
+    PlacementRow,
+    WorkspaceLimitMessage,
+)
+
+__all__ = ["ANSWER_TIMEOUT_SECONDS", "PlacementCoordinator"]
+
+ANSWER_TIMEOUT_SECONDS = 0.08
+"""Seconds in which a placing host must answer a query. A round trip within
+the region takes 1 ms; the remainder allows for a busy processor."""
+
+MAX_QUERIED_HOSTS = 2
+"""Hosts that are queried in turn before this host decides by itself."""
+
+RANKING_CACHE_SECONDS = 0.1
+"""Seconds for which the ranking of placing hosts is cached, because ranking
+the hosts of a large region takes as long as answering a query."""
+
+MAX_QUERIES_PER_TURN = 4
+"""Queries that are answered in one turn of the event loop, before sockets
+are polled again; they take 1 ms."""
+
+LATE_ANSWER_SECONDS = 3.0
+"""Seconds after the timeout of a query in which a late grant is still
+released at the host that made it."""
+
+IMMEDIATE_GRANT_SECONDS = 0.25
+"""Seconds for which a grant that must be used at once remains valid. A host
+that was suspended in the meantime would otherwise send a request that the
+placing host no longer counts."""
+
+
+@dataclass(slots=True, eq=False)
+class PendingQuery:
+    """A query that waits for its answer.
+
+    Attributes:
+        ask: The `PlacementQuery` that was sent.
+        member: `Member` that was queried.
+        done: Deferred that fires with the decision.
+        asked_at: Time of the query by the clock that includes suspension.
+        timer: Delayed call of the timeout, or `NOTHING`.
+    """
+
+    ask: PlacementQuery
+    member: object
+    done: object
+    asked_at: float
+    timer: object = NOTHING
+
+
+@dataclass(slots=True, eq=False)
+class OpenPlacement:
+    """A request of this host that is placed and in progress.
+
+    Attributes:
+        placed: The `Placed` decision.
+        demand: The `Demand` of the request.
+        placer: Name of the host that placed the request.
+        started: Whether the first event of the response has arrived.
+    """
+
+    placed: Placed
+    demand: Demand
+    placer: str
+    started: bool = False
+
+
+class PlacementCoordinator:
+    """Send and answer placement queries, and report progress to placing hosts.
+
+    Args:
+        members: The `Members`.
+        placer: The `Placer` of this host.
+        registry: The `Registry`.
+        datagrams: The `DatagramEndpoint`.
+        clock: The clock of the reactor.
+        boot_clock: Callable that returns the seconds of a clock that also
+            advances while the host is suspended.
+        timeline: The `Timeline`.
+        limiter: The `WorkspaceLimiter`.
+        rests: The `RetryAfterPauses`: the retry-after pauses that servers
+            requested from this host.
+        guarded: Called with a function to run; logs its unexpected failure.
+    """
+
+    def __init__(
+        self,
+        members,
+        placer,
+        registry,
+        datagrams,
+        clock,
+        boot_clock,
+        timeline,
+        limiter,
+        rests,
+        guarded=lambda work: work(),
+    ):
+        self.members = members
+        self.placer = placer
+        self.registry = registry
+        self.datagrams = datagrams
+        self.clock = clock
+        self.boot_clock = boot_clock
+        self.timeline = timeline
+        self.limiter = limiter
+        self.rests = rests
+        self.guarded = guarded
+        self.number = 0
+        self.pending_queries = {}
+        self.expired_queries = {}
+        self.placements = {}
+        self.away_placers = {}
+        self.last_fallback_at = NOTHING
+        self.ranked = []
+        self.ranked_at = NOTHING
+        self.queries = deque()
+        self.queries_dropped = 0
+
+    @property
+    def host(self):
+        """Name of this host."""
+        return self.members.own.name
+
+    async def place(self, ask):
+        """Return the number of a request and the decision where it runs.
+
+        Args:
+            ask: The `PlacementQuery`; this method sets its host and number.
+        """
+        self.number += 1
+        number = self.number
+        ask = replace(ask, host=self.host, number=number)
+        decision = await self.query_hosts(number, self.exclude_paused(ask))
+        return number, self.with_earliest_return(ask, decision)
+
+    def exclude_paused(self, ask):
+        """Return a `PlacementQuery` without the servers that are paused."""
+        paused = self.rests.blocked(self.clock.seconds())
+        if not paused:
+            return ask
+        return replace(ask, excluded=(*ask.excluded, *paused))
+
+    def with_earliest_return(self, ask, decision):
+        """Return a refusal whose Retry-After is the end of the first pause.
+
+        The placing host has no record of which servers requested a pause
+        from this host, nor for how long.
+        """
+        if not isinstance(decision, Refused) or decision.servers:
+            return decision
+        pause = self.earliest_pause_end(ask.service, ask.excluded)
+        if pause is NOTHING:
+            return decision
+        now = self.clock.seconds()
+        return replace(
+            decision,
+            retry_after=self.rests.retry_delay(pause, now),
+            evidence=pause.describe(now),
+        )
+
+    def earliest_pause_end(self, service, excluded=()):
+        """Return the first `RetryAfterPause` to end if all servers are paused.
+
+        Args:
+            service: The service.
+            excluded: Identifiers of servers that are excluded for another
+                reason; those that are paused are considered nevertheless.
+
+        Returns:
+            `NOTHING` if a server of this region accepts requests.
+        """
+        now = self.clock.seconds()
+        region = self.members.own.region
+        candidates = self.registry.candidates(service, region, now)
+        candidate_ids = [one.entry.id for one in candidates]
+        ids = [
+            one
+            for one in candidate_ids
+            if one not in excluded or self.rests.is_blocked(one, now)
+        ]
+        return self.rests.first_to_end(ids, now)
+
+    def retry_after_for_refused(self, service, default):
+        """Return the Retry-After for a caller whose request was rejected.
+
+        Args:
+            service: The service of the request.
+            default: Seconds to return unless all servers of the region are
+                paused.
+        """
+        pause = self.earliest_pause_end(service)
+        if pause is NOTHING:
+            return default
+        return self.rests.retry_delay(pause, self.clock.seconds())
+
+    async def query_hosts(self, number, ask):
+        """Return the first usable decision of a queried host.
+
+        If no host answers in time with a usable decision, this host decides
+        by itself.
+        """
+        for position, member in enumerate(self.placers()[:MAX_QUERIED_HOSTS]):
+            if member is self.members.own:
+                return self.decide_locally(ask, cold_allowed=True)
+            is_fallback = position > 0
+            if is_fallback:
+                self.last_fallback_at = self.clock.seconds()
+            decision = await self.send_query(
+                member, ask, is_fallback=is_fallback
+            )
+            if self.is_usable(decision):
+                self.track_placement(number, ask, decision, member.name)
+                return decision
+            if isinstance(decision, Placed):
+                self.release_grant(number, decision.server_id, member)
+        ask = self.exclude_paused(ask)
+        return self.decide_locally(ask, cold_allowed=False)
+
+    def placers(self):
+        """Return the ranking of placing hosts, the best first."""
+        now = self.clock.seconds()
+        if (
+            self.ranked_at is NOTHING
+            or now - self.ranked_at >= RANKING_CACHE_SECONDS
+        ):
+            self.ranked = self.members.placers(now)
+            self.ranked_at = now
+        return self.ranked
+
+    def decide_locally(self, ask, *, cold_allowed):
+        """Decide from the state of this host and track the placement."""
+        decision = self.decide(ask, cold_allowed=cold_allowed)
+        self.track_placement(ask.number, ask, decision, self.host)
+        return decision
+
+    def decide(self, ask, *, cold_allowed):
+        """Return this host's decision, subject to the workspace limits."""
+        return self.limiter.decide(
+            ask,
+            lambda: self.placer.place(
+                ask, self.clock.seconds(), cold_allowed=cold_allowed
+            ),
+        )
+
+    def track_placement(self, number, ask, decision, placer):
+        """Track a placed request until it ends.
+
+        A request that is sent to another region is tracked if it consumes
+        tokens of a limit, because the limit is counted in this region.
+        """
+        if isinstance(decision, Placed):
+            self.placements[number] = OpenPlacement(
+                decision, ask.demand, placer
+            )
+            self.rests.record_sent(decision.server_id, self.clock.seconds())
+        elif isinstance(decision, PlacedRemotely) and ask.cost:
+            self.away_placers[number] = placer
+
+    def is_usable(self, decision):
+        """Return whether a decision of another host may be used.
+
+        The state of the other host may be older than that of this one. A
+        server that is leaving or paused according to this host gets no
+        request, whichever host placed it.
+        """
+        if decision is NOTHING:
+            return False
+        if not isinstance(decision, Placed):
+            return True
+        now = self.clock.seconds()
+        usability = self.registry.usability(decision.server_id, now)
+        if usability is Usability.LEAVING:
+            return False
+        return not self.rests.is_blocked(decision.server_id, now)
+
+    def send_query(self, member, ask, *, is_fallback=False):
+        """Query another host; return a deferred of the decision.
+
+        The deferred fires with `NOTHING` if no answer arrives in time.
+        """
+        done = defer.Deferred()
+        query = PendingQuery(ask, member, done, self.boot_clock())
+        query.timer = self.clock.callLater(
+            ANSWER_TIMEOUT_SECONDS, self.expire_query, ask.number
+        )
+        self.pending_queries[ask.number] = query
+        message = query_message(
+            ask,
+            is_fallback=is_fallback,
+            recent_fallback=self.has_recent_fallback,
+        )
+        self.datagrams.send(message, member.control)
+        return done
+
+    @property
+    def has_recent_fallback(self):
+        """Whether the first host left a query unanswered recently."""
+        if self.last_fallback_at is NOTHING:
+            return False
+        return (
+            self.clock.seconds() - self.last_fallback_at
+            < RECENT_FALLBACK_SECONDS
+        )
+
+    def expire_query(self, number):
+        """Stop waiting for the answer to a query."""
+        query = self.pending_queries.pop(number, None)
+        if query is not None:
+            query.timer = NOTHING
+            self.expired_queries[number] = query.member
+            self.clock.callLater(
+                LATE_ANSWER_SECONDS, self.expired_queries.pop, number, None
+            )
+            query.done.callback(NOTHING)
+
+    def handle_answer(self, message):
+        """Handle the answer of a placing host."""
+        query = self.pending_queries.pop(message.number, None)
+        if query is None:
+            self.release_late_grant(message)
+            return
+        if query.timer is not NOTHING:
+            query.timer.cancel()
+        decision = decision_from_message(message)
+        age = self.boot_clock() - query.asked_at
+        at_once = isinstance(decision, Placed) and decision.at_once
+        if at_once and age > IMMEDIATE_GRANT_SECONDS:
+            decision = NOTHING
+        query.done.callback(decision)
+
+    def release_late_grant(self, message):
+        """Release a grant that arrived too late to be used.
+
+        The host that made it counts the request at a server that never
+        receives it. A busy host answers many queries late; if the grants
+        were not released, its servers would look loaded by requests that
+        run elsewhere.
+        """
+        member = self.expired_queries.pop(message.number, None)
+        if member is None or not isinstance(message, PlacementGrantMessage):
+            return
+        if message.server_id or message.region:
+            self.release_grant(message.number, message.server_id, member)
+
+    def release_grant(self, number, server_id, member):
+        """Notify the host that placed a request that it is not sent."""
+        end = AttemptEndedMessage(
+            self.host, number, server_id, int(AttemptResult.UNUSED)
+        )
+        self.datagrams.send(end, member.control)
+
+    def enqueue_query(self, message, member):
+        """Queue the query of another host.
+
+        The newest query is answered first, and one older than the timeout
+        is dropped, because its host has decided by itself. If queries were
+        answered in order of arrival, a placing host that cannot keep up
+        would answer all of them too late.
+        """
+        if not self.queries:
+            self.clock.callLater(0, self.guarded, self.answer_newest)
+        self.queries.append((self.clock.seconds(), message, member))
+
+    def answer_newest(self):
+        """Answer the newest queries and drop those past their timeout."""
+        self.drop_stale_queries(self.clock.seconds() - ANSWER_TIMEOUT_SECONDS)
+        count = min(MAX_QUERIES_PER_TURN, len(self.queries))
+        newest = [self.queries.pop() for _ in range(count)]
+        if self.queries:
+            self.clock.callLater(0, self.guarded, self.answer_newest)
+        for _, message, member in newest:
+            self.answer_query(message, member)
+
+    def drop_stale_queries(self, oldest):
+        """Drop the queries that arrived before the time *oldest*."""
+        dropped = 0
+        while self.queries and self.queries[0][0] < oldest:
+            self.queries.popleft()
+            dropped += 1
+        if dropped:
+            self.queries_dropped += dropped
+            self.timeline.note(EventKind.UNANSWERED, questions=dropped)
+
+    def answer_query(self, message, member):
+        """Place a request of another host and send the decision."""
+        ask = query_from_message(message)
+        is_first = self.placers()[0] is self.members.own
+        self.limiter.placement_share.note_asked(
+            message.host,
+            is_fallback=message.is_fallback,
+            recent_fallback=message.recent_fallback,
+        )
+        decision = self.decide(ask, cold_allowed=is_first)
+        self.datagrams.send(
+            answer_message(ask.number, decision), member.control
+        )
+
+    def note_start(self, number, seconds):
+        """Record and report that a request has received its first event."""
+        placement = self.placements.get(number)
+        if placement is None:
+            return
+        placement.started = True
+        self.placer.note_start(
+            self.host, number, seconds, self.clock.seconds()
+        )
+        self.send_to_placer(
+            placement.placer, AttemptStartedMessage(self.host, number, seconds)
+        )
+
+    def note_end(self, number, finding):
+        """Record and report the end of an attempt or an unused placement."""
+        if finding is AttemptResult.UNUSED:
+            self.note_away_end(number, ran=False)
+        placement = self.placements.pop(number, None)
+        if placement is None:
+            return
+        server_id = placement.placed.server_id
+        self.handle_end(self.host, number, server_id, finding)
+        message = AttemptEndedMessage(
+            self.host, number, server_id, int(finding)
+        )
+        self.send_to_placer(placement.placer, message)
+
+    def note_away_end(self, number, *, ran):
+        """Release the limit tokens of an attempt in another region.
+
+        Args:
+            number: Number of the request.
+            ran: Whether the attempt ran there; its tokens are then used.
+        """
+        placer = self.away_placers.pop(number, "")
+        if not placer or ran:
+            return
+        self.limiter.note_end(self.host, number, AttemptResult.UNUSED)
+        message = AttemptEndedMessage(
+            self.host, number, "", int(AttemptResult.UNUSED)
+        )
+        self.send_to_placer(placer, message)
+
+    def handle_end(self, host, number, server_id, finding):
+        """Update limits and server load for the end of any host's attempt."""
+        self.limiter.note_end(host, number, finding)
+        if not server_id:
+            return
+        suspected = self.placer.note_end(
+            host, number, server_id, finding, self.clock.seconds()
+        )
+        if suspected:
+            self.timeline.note(
+                EventKind.SERVER_PAUSED,
+                server=server_id,
+                reason=AttemptResult(finding).name.lower(),
+                told_by=host,
+            )
+
+    def send_to_placer(self, name, message):
+        """Send *message* to the host that placed a request, if another."""
+        if name == self.host:
+            return
+        member = self.members.others.get(name)
+        if member is not None:
+            self.datagrams.send(message, member.control)
+
+    def placer_of(self, number):
+        """Return the name of the host that placed a request, or ``""``."""
+        placement = self.placements.get(number)
+        return placement.placer if placement is not None else ""
+
+    def placement_rows(self):
+        """Return a `PlacementRow` for each placed request in progress."""
+        return [
+            PlacementRow(
+                number,
+                placement.placed.server_id,
+                0 if placement.started else placement.demand.tokens_in,
+                placement.demand.tokens_in + placement.demand.tokens_out,
+                placement.demand.tokens_out,
+                placement.placed.urgency,
+                placement.started,
+            )
+            for number, placement in self.placements.items()
+        ]
+
+
+def query_message(ask, *, is_fallback=False, recent_fallback=False):
+    """Return the message that carries a `PlacementQuery`.
+
+    Args:
+        ask: The `PlacementQuery`.
+        is_fallback: Whether the host that was queried first did not answer.
+        recent_fallback: Whether the sender has used a fallback recently.
+    """
+    demand = ask.demand
+    return PlacementQueryMessage(
+        ask.host,
+        ask.number,
+        ask.service,
+        list(demand.parts),
+        demand.tokens_in,
+        demand.tokens_out,
+        round(demand.answer_within, 3),
+        round(ask.time_left, 4),
+        round(ask.patience, 4),
+        ask.priority,
+        list(ask.excluded),
+        sorted(ask.regions),
+        list(ask.avoided),
+        ask.may_leave,
+        ask.begun,
+        ask.apart,
+        ask.workspace,
+        ask.cost,
+        is_fallback,
+        recent_fallback,
+    )
+
+
+def query_from_message(message):
+    """Return the `PlacementQuery` that a `PlacementQueryMessage` carries."""
+    return PlacementQuery(
+        host=message.host,
+        number=message.number,
+        service=message.service,
+        demand=Demand(
+            parts=tuple(message.parts),
+            tokens_in=message.tokens_in,
+            tokens_out=message.tokens_out,
+            answer_within=message.answer_within,
+        ),
+        time_left=message.time_left,
+        patience=message.patience,
+        priority=message.priority,
+        excluded=tuple(message.excluded),
+        regions=frozenset(message.regions),
+        avoided=tuple(message.avoided),
+        may_leave=message.may_leave,
+        begun=message.begun,
+        apart=message.apart,
+        workspace=message.workspace,
+        cost=message.cost,
+    )
+
+
+def answer_message(number, decision):
+    """Return the message that carries a decision."""
+    if isinstance(decision, RateLimited):
+        return WorkspaceLimitMessage(
+            number,
+            decision.retry_after,
+            decision.host,
+            decision.units,
+            decision.level,
+            decision.demand,
+        )
+    if isinstance(decision, Refused):
+        return PlacementRefusalMessage(
+            number,
+            decision.retry_after,
+            decision.predicted,
+            decision.servers,
+            decision.evidence,
+        )
+    if isinstance(decision, PlacedRemotely):
+        return PlacementGrantMessage(
+            number, "", "", 5, decision.predicted, False, decision.region, ""
+        )
+    return PlacementGrantMessage(
+        number,
+        decision.server_id,
+        decision.address,
+        decision.urgency,
+        decision.predicted,
+        decision.at_once,
+        "",
+        decision.copy_from,
+        decision.evidence,
+    )
+
+
+def decision_from_message(message):
+    """Return the decision that an answer carries."""
+    if isinstance(message, WorkspaceLimitMessage):
+        return RateLimited(
+            message.retry_after,
+            message.host,
+            message.units,
+            message.level,
+            message.demand,
+        )
+    if isinstance(message, PlacementRefusalMessage):
+        return Refused(
+            message.retry_after,
+            message.predicted,
+            message.servers,
+            message.evidence,
+        )
+    if message.region:
+        return PlacedRemotely(message.region, message.predicted)
+    return Placed(
+        message.server_id,
+        message.address,
+        message.urgency,
+        message.predicted,
+        message.at_once,
+        message.copy_from,
+        message.evidence,
+    )
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -1,41 +1,43 @@
-"""Tell hosts under which requests servers have ended."""
+"""Share between hosts which requests have crashed servers."""
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.crashes import End, Suspect
+from ..traffic.crashes import ServerCrash, Suspect
 from .digests import DigestComparison, millis
-from .messages import EndRow, SuspectRow, Suspects
+from .messages import ServerCrashRow, SuspectRow, SuspectsMessage
 
-__all__ = ["CrashSharing", "row_of", "suspect_of"]
+__all__ = ["CrashSharing", "suspect_from_row", "suspect_row"]
 
-SUMMING_HOSTS = 3
-"""Hosts of a region that hear of each first end: those that place, and that
-others report to. All others hear of a request from its second end on."""
+AGGREGATING_HOSTS = 3
+"""Hosts of a region that receive the first crash of a request: the placing
+hosts, to which the others report. All other hosts receive a request from its
+second crash on."""
 
-ROWS_AT_ONCE = 100
-"""Requests in one datagram, at most 30 KB of them."""
+MAX_ROWS_PER_DATAGRAM = 100
+"""Rows of requests in one datagram, which is then at most 30 KB long."""
 
-EXPIRE_EVERY = 5.0
-"""Seconds between looks for what is too old; to look takes 2 ms at most."""
+EXPIRE_INTERVAL_SECONDS = 5.0
+"""Seconds between two removals of expired crashes; each takes at most 2 ms."""
 
 
 class CrashSharing:
-    """Keep what hosts know of such requests the same.
+    """Replicate the records of requests that crash servers on all hosts.
 
-    News is sent on at once, over the hosts that place to other regions, so
-    that a region cut off from one hears it by way of a third. Heartbeats
-    bear a digest of what a host knows; a host that was cut off, or has just
-    started, is told all by the first that hears another digest from it.
+    Changes are forwarded at once. Placing hosts forward them to other
+    regions, so that a region that is disconnected from one region receives
+    them through a third. Heartbeats carry a digest of the records of a host;
+    a host that was disconnected, or has just started, receives all records
+    from the first host that sees a different digest.
 
     Args:
-        crashes: The `Crashes`.
+        crashes: The `CrashTracker`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
-        clock: The runtime's clock.
+        datagrams: The `DatagramEndpoint`.
+        clock: The clock of the reactor.
         timeline: The `Timeline`.
-        far_contacts: Called for the hosts of other regions to tell, none if
-            this host does not place.
-        save: Called with a `Suspect` of which the store is to know.
+        far_contacts: Called for the hosts of other regions to notify; empty
+            if this host does not place.
+        save: Called with a `Suspect` to write to the store.
     """
 
     def __init__(
@@ -52,31 +54,32 @@
         self.expire_due = 0.0
 
     def server_ended(self, fingerprint, caller, server, peer_ip=""):
-        """Note that a server ended here as a request began on it.
+        """Record that a server crashed as a request of this host began on it.
 
         Args:
-            fingerprint: The request.
-            caller: Address that it came from.
-            server: The start of a server.
-            peer_ip: Address of the host that had sent the request on, or
-                an empty string. It decides on the next try, at once.
+            fingerprint: Fingerprint of the request.
+            caller: Address of the caller.
+            server: The start of the server.
+            peer_ip: IP address of the host that forwarded the request, or
+                an empty string. That host is notified at once, because it
+                immediately decides on the next attempt.
         """
         now = self.clock.seconds()
-        end = End(server, now, self.members.own.name, caller)
-        if not self.crashes.note_end(fingerprint, end, now):
+        end = ServerCrash(server, now, self.members.own.name, caller)
+        if not self.crashes.record_crash(fingerprint, end, now):
             return
         suspect = self.crashes.suspects[fingerprint]
-        self.tell([suspect], now)
+        self.announce([suspect], now)
         if peer_ip:
-            self.tell_ip([suspect], peer_ip, now)
-        if suspect.for_all:
+            self.announce_to_ip([suspect], peer_ip, now)
+        if suspect.shared_with_all:
             self.save(suspect)
 
     def ran_well(self, fingerprint, caller):
-        """Note that a request of a caller has run well on a server."""
+        """Record that a request of a caller has succeeded on a server."""
         now = self.clock.seconds()
-        if self.crashes.note_run(fingerprint, caller, now):
-            self.tell([self.crashes.suspects[fingerprint]], now)
+        if self.crashes.record_success(fingerprint, caller, now):
+            self.announce([self.crashes.suspects[fingerprint]], now)
 
     def verdict(self, fingerprint, caller):
         """Return the `Verdict` on a request of a caller."""
@@ -84,60 +87,60 @@
         return self.crashes.verdict(fingerprint, caller, now)
 
     def evidence(self, fingerprint):
-        """Return the ends under a request, in words for a log line."""
+        """Return a description of a request's crashes for a log line."""
         now = self.clock.seconds()
         suspect = self.crashes.suspects.get(fingerprint)
-        ends = suspect.ends.values() if suspect is not None else ()
+        ends = suspect.crashes.values() if suspect is not None else ()
         return ", ".join(
             f"{end.server} {now - end.at:.1f} s ago by {end.host}"
             for end in sorted(ends, key=lambda end: -end.at)
         )
 
     def tick(self):
-        """Forget what is old, and block what has been found."""
+        """Expire old records and block the requests that are at fault."""
         now = self.clock.seconds()
         if now >= self.expire_due:
-            self.expire_due = now + EXPIRE_EVERY
+            self.expire_due = now + EXPIRE_INTERVAL_SECONDS
             self.crashes.expire(now)
-        for suspect in self.crashes.judge(now):
+        for suspect in self.crashes.block_causes(now):
             self.note_blocked(suspect)
-            self.tell([suspect], now)
+            self.announce([suspect], now)
             self.save(suspect)
 
     def note_blocked(self, suspect):
-        """Put a blocked request on the time line."""
+        """Log that a request is blocked."""
         self.timeline.note(
             EventKind.REQUEST_BLOCKED,
             fingerprint=suspect.fingerprint,
             evidence=self.evidence(suspect.fingerprint),
         )
 
-    def tell(self, suspects, now, *, region=True):
-        """Send news on.
+    def announce(self, suspects, now, *, region=True):
+        """Send changed records to other hosts.
 
         Args:
-            suspects: Each `Suspect`.
-            now: The time.
-            region: Whether the hosts of this region are to hear it.
+            suspects: List of `Suspect`.
+            now: Current time of the clock.
+            region: Whether to send them to hosts of this region as well.
         """
         message = self.message(suspects, now)
         self.datagrams.send_all(message, self.far_contacts())
         if not region:
             return
-        if any(one.for_all for one in suspects):
+        if any(one.shared_with_all for one in suspects):
             name = self.members.own.region
             others = self.members.others.values()
-            near = [one for one in others if one.region == name]
+            in_region = [one for one in others if one.region == name]
         else:
-            near = [
+            in_region = [
                 one
-                for one in self.members.placers(now)[:SUMMING_HOSTS]
+                for one in self.members.placers(now)[:AGGREGATING_HOSTS]
                 if one is not self.members.own
             ]
-        self.datagrams.send_all(message, near)
+        self.datagrams.send_all(message, in_region)
 
-    def tell_ip(self, suspects, ip, now):
-        """Send news to the host with an address."""
+    def announce_to_ip(self, suspects, ip, now):
+        """Send changed records to the host with an IP address."""
         for member in self.members.others.values():
             if member.control.rpartition(":")[0] == ip:
                 self.datagrams.send(
@@ -145,67 +148,75 @@
                 )
 
     def message(self, suspects, now):
-        """Return the message on *suspects*."""
-        return Suspects(
+        """Return the message that carries *suspects*."""
+        return SuspectsMessage(
             self.members.own.name,
-            [row_of(one, now) for one in suspects[:ROWS_AT_ONCE]],
+            [
+                suspect_row(one, now)
+                for one in suspects[:MAX_ROWS_PER_DATAGRAM]
+            ],
         )
 
-    def take(self, message):
-        """Take over what another host tells, and send on what is news."""
+    def merge(self, message):
+        """Merge records that another host sent and forward the changes."""
         now = self.clock.seconds()
-        news = []
+        changed = []
         for row in message.rows:
-            told = suspect_of(row, now)
-            if self.crashes.merge(told, now):
-                news.append(told.fingerprint)
-        # One of them may have been forgotten for want of room by now.
+            received = suspect_from_row(row, now)
+            if self.crashes.merge(received, now):
+                changed.append(received.fingerprint)
+        # The table may be full, and a later record may have evicted an
+        # earlier one of the same message.
         suspects = self.crashes.suspects
-        news = [suspects[one] for one in news if one in suspects]
-        if not news:
+        changed = [suspects[one] for one in changed if one in suspects]
+        if not changed:
             return
-        for suspect in news:
+        for suspect in changed:
             if suspect.blocked:
                 self.note_blocked(suspect)
         sender = self.members.others.get(message.host)
-        near = sender is not None and sender.region == self.members.own.region
-        self.tell(news, now, region=not near)
+        in_region = (
+            sender is not None and sender.region == self.members.own.region
+        )
+        self.announce(changed, now, region=not in_region)
 
     def compare(self, member, digest):
-        """Tell a host all if it knows something else."""
+        """Send all records to a host if its digest differs."""
         own = self.crashes.digest
-        if not self.comparison.must_tell(member.name, own, digest):
+        if not self.comparison.must_send(member.name, own, digest):
             return
-        known = self.crashes.told_to_all()
+        known = self.crashes.suspects_for_all()
         if known:
             message = self.message(known, self.clock.seconds())
             self.datagrams.send(message, member.control)
 
-    def knows_any(self):
-        """Whether any request is to be looked at at all."""
+    def has_suspects(self):
+        """Return whether there are any records to check requests against."""
         return bool(self.crashes.suspects)
 
 
-def row_of(suspect, now):
-    """Return the `SuspectRow` of a `Suspect`, in ages."""
+def suspect_row(suspect, now):
+    """Return the `SuspectRow` of a `Suspect`, with its times as ages."""
     cleared = -1
     if suspect.cleared_at is not NOTHING:
         cleared = millis(now - suspect.cleared_at)
     return SuspectRow(
         suspect.fingerprint,
         [
-            EndRow(end.server, millis(now - end.at), end.host, end.caller)
-            for end in suspect.ends.values()
+            ServerCrashRow(
+                end.server, millis(now - end.at), end.host, end.caller
+            )
+            for end in suspect.crashes.values()
         ],
         suspect.blocked,
         cleared,
     )
 
 
-def suspect_of(row, now):
-    """Return the `Suspect` of a `SuspectRow`, in times of this host."""
+def suspect_from_row(row, now):
+    """Return the `Suspect` of a row, with its times by the local clock."""
     ends = {
-        end.server: End(
+        end.server: ServerCrash(
             end.server, now - end.age_ms / 1000, end.host, end.caller
         )
         for end in row.ends
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -1,4 +1,4 @@
-"""A caller's request from its arrival to its final answer."""
+"""Handle a caller's request from its arrival to its final response."""
 
 from dataclasses import replace
 
@@ -8,82 +8,89 @@
 from ..core.outcomes import Answered, NotRun, Reason
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink
-from ..traffic.decisions import Ask, Away, Limited, Placed
-from ..traffic.evidence import Finding
-from .attempts import Attempt, Sending, silence_limit
-from .connections import Lane
+from ..traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+)
+from ..traffic.serverhealth import AttemptResult
+from .attempts import Attempt, OutgoingRequest, silence_limit
+from .connections import Endpoint
+from .crashchecks import REFUSING_REASONS, SUSPECTED_RETRY_SECONDS, CrashCheck
 from .notices import notice_details
 from .relaying import (
-    ORDER_HEADER,
-    RelayOrder,
-    encode_order,
+    RELAY_HEADER,
+    RelayParameters,
+    encode_parameters,
     read_relay_head,
 )
-from .suspicion import HELD_RETRY_AFTER, REFUSING_REASONS, Suspicion
 from .web import respond_refusal
 
 __all__ = ["Exchange"]
 
-MOST_TRIES = 5
-"""Placements of one request, those included that never reached a server;
-more would only follow a failing region round."""
+MAX_TRIES = 5
+"""Maximum number of placements of one request, including those that never
+reach a server. Further placements would only repeat attempts against a region
+that is failing."""
 
-STREAM_PATIENCE = 2.0
+STREAM_PATIENCE_SECONDS = 2.0
 STREAM_PATIENCE_OBJECTIVES = 4.0
-"""Callers give a stream up after a gap of two seconds or four times its
-objective; a later first event reaches nobody."""
+"""Callers abandon a stream after a gap of two seconds or of four times its
+objective, whichever is longer. A first event after that time no longer reaches
+anybody."""
 
-PATIENCE_SHARE = 0.85
-"""Part of that time within which a first event must be predicted."""
+PATIENCE_FRACTION = 0.85
+"""Fraction of that time within which a first event has to be predicted."""
 
-SILENT_GAP = 1.0
-"""Seconds without an event of a running stream after which another server
-goes on with it, if it may be resumed. Engines pause for under 0.3 s."""
+STREAM_SILENCE_SECONDS = 1.0
+"""Seconds without an event after which a running stream is resumed at another
+server, if its route allows that. Engines pause for less than 0.3 s."""
 
-LEAST_TIME = 0.03
-"""Seconds before a request's end in which no new attempt is begun."""
+MIN_ATTEMPT_SECONDS = 0.03
+"""No new attempt starts when the request has fewer seconds left than this."""
 
-CONNECT_RETRY_AFTER = 0.4
-"""Seconds after which to come back when no server could be reached; a
-registry or a connection is current again by then."""
+CONNECT_RETRY_SECONDS = 0.4
+"""Retry-After of a request for which no server could be reached. Within this
+time the service registry is up to date or the connection is restored."""
 
 FINAL_REASONS = (Reason.DEADLINE, Reason.CALLER_GONE)
-"""Reasons after which no other attempt is of use."""
+"""Reasons after which another attempt is of no use."""
 
-EVENT_ID = b"id:"
+EVENT_ID_FIELD = b"id:"
 
 
 class Exchange:
-    """One request of a caller.
+    """Handle one request of a caller.
 
     Args:
         state: The `EntryState`.
         request: The `WebRequest`.
         route: Its `Route`.
-        facts: Its `CallerFacts`.
-        rights: Its `Rights`.
-        ended: Called with this exchange at its end.
-        arrived: Time at which the request came.
+        metadata: Its `RequestMetadata`.
+        permissions: Its `Permissions`.
+        on_end: Called with this exchange when it ends.
+        arrived: Time at which the request arrived.
     """
 
     def __init__(
-        self, state, request, route, facts, rights, ended, *, arrived
+        self, state, request, route, metadata, permissions, on_end, *, arrived
     ):
         self.state = state
         self.request = request
         self.route = route
-        self.facts = facts
-        self.rights = rights
-        self.ended = ended
-        self.id = facts.id.decode("latin-1")
+        self.metadata = metadata
+        self.permissions = permissions
+        self.on_end = on_end
+        self.id = metadata.id.decode("latin-1")
         self.service = route.service_for(self.id)
         self.configuration = state.provenance.details()
         self.sink = AnswerSink(request)
         self.arrived = arrived
         allowed = route.timeout
-        if facts.deadline is not NOTHING:
-            allowed = min(allowed, facts.deadline)
-        self.give_up_at = self.arrived + allowed
+        if metadata.deadline is not NOTHING:
+            allowed = min(allowed, metadata.deadline)
+        self.deadline_at = self.arrived + allowed
         self.attempt = NOTHING
         self.attempt_began = 0.0
         self.last_data = 0.0
@@ -91,33 +98,33 @@
         self.predicted = 0.0
         self.excluded = []
         self.tried_hosts = set()
-        self.arrivals = 0
-        self.runs = 0
+        self.sent_attempts = 0
+        self.executions = 0
         self.tries = 0
         self.may_leave = True
         self.avoided = []
-        self.refused = False
-        self.retry_paid = False
-        self.moving = False
-        self.placement = NOTHING
-        self.kept = NOTHING
-        self.suspicion = Suspicion(
-            state.sharing, request, request.peer_ip, facts.key_digest
+        self.refused_locally = False
+        self.retry_spent = False
+        self.switching = False
+        self.next_placement = NOTHING
+        self.fallback_response = NOTHING
+        self.crash_check = CrashCheck(
+            state.sharing, request, request.peer_ip, metadata.key_digest
         )
-        self.last_event = facts.last_event
+        self.last_event = metadata.last_event
         self.last_event_at = NOTHING
-        self.first_at = NOTHING
-        self.over = False
+        self.first_data_at = NOTHING
+        self.closed = False
 
     def start(self):
-        """Begin; the answer ends it."""
-        gone = self.request.notifyFinish()
-        gone.addErrback(self.caller_gone)
+        """Start processing; it ends with the response."""
+        disconnected = self.request.notifyFinish()
+        disconnected.addErrback(self.handle_disconnect)
         work = defer.ensureDeferred(self.run())
-        work.addErrback(self.crashed)
+        work.addErrback(self.handle_error)
 
-    def crashed(self, failure):
-        """Write an unexpected error to the log, and cut the answer."""
+    def handle_error(self, failure):
+        """Log an unexpected error and abort the response."""
         self.state.timeline.note(
             EventKind.UNEXPECTED,
             request=self.id,
@@ -128,17 +135,18 @@
         self.close()
 
     def close(self):
-        """Note the end once."""
-        if not self.over:
-            self.over = True
-            self.ended(self)
-
-    def caller_gone(self, reason):
-        """Stop all work for a caller that has gone.
-
-        A caller that left a silent server is evidence against the server:
-        one that hangs would else get the next request, and each that must
-        not be repeated would wait there until its caller has left.
+        """Report the end of the exchange once."""
+        if not self.closed:
+            self.closed = True
+            self.on_end(self)
+
+    def handle_disconnect(self, reason):
+        """Stop all work for a caller that has disconnected.
+
+        If the server was silent for too long by then, the attempt counts as
+        evidence against it. Otherwise a server that hangs would get the next
+        request as well, and each request that must not be repeated would wait
+        there until its caller disconnects.
         """
         if self.attempt is NOTHING:
             return
@@ -148,78 +156,79 @@
 
     @property
     def time_left(self):
-        """Seconds until the request is given up."""
-        return self.give_up_at - self.state.clock.seconds()
+        """Seconds until the request reaches its deadline."""
+        return self.deadline_at - self.state.clock.seconds()
 
     async def run(self):
-        """Try until there is a final outcome, and deliver it."""
+        """Make attempts until there is a final outcome, and deliver it."""
         now = self.state.clock.seconds()
-        self.state.retries.note_request(self.service, now)
+        self.state.retries.record_request(self.service, now)
         outcome = NOTHING
         while True:
             outcome = await self.next_try()
-            if self.sink.gone or not self.goes_on(outcome):
+            if self.sink.gone or not self.should_retry(outcome):
                 break
         self.conclude(outcome)
         self.close()
 
     async def next_try(self):
-        """Place the request, make an attempt, return its outcome."""
+        """Place the request, make one attempt and return its outcome."""
         self.tries += 1
-        refusal = self.refused_for_crashes()
+        refusal = self.crash_refusal()
         if refusal is not NOTHING:
             return refusal
-        number, decision = await self.placed()
-        if self.sink.gone or self.time_left < LEAST_TIME:
-            self.state.asking.note_end(number, Finding.UNUSED)
-            return NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER)
-        refusal = self.refused_for_crashes()
+        number, decision = await self.get_placement()
+        if self.sink.gone or self.time_left < MIN_ATTEMPT_SECONDS:
+            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
+            return NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
+        refusal = self.crash_refusal()
         if refusal is not NOTHING:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
             return refusal
         if isinstance(decision, Placed):
             return await self.try_server(number, decision)
-        if isinstance(decision, Away):
+        if isinstance(decision, PlacedRemotely):
             outcome = await self.try_region(decision)
             ran = not isinstance(outcome, NotRun)
-            self.state.asking.note_away_end(number, ran=ran)
+            self.state.coordinator.note_away_end(number, ran=ran)
             return outcome
-        self.refused = True
-        if isinstance(decision, Limited):
-            self.note_limit(decision)
+        self.refused_locally = True
+        if isinstance(decision, RateLimited):
+            self.log_rate_limit(decision)
             return NotRun(Reason.RATE_LIMIT, decision.retry_after)
-        self.note_refusal(decision)
+        self.log_refusal(decision)
         return NotRun(Reason.OVERLOADED, decision.retry_after)
 
-    def refused_for_crashes(self):
-        """Return a `NotRun` if servers end under this request, or `NOTHING`.
+    def crash_refusal(self):
+        """Return a `NotRun` if the request crashes servers, or `NOTHING`.
 
-        It would end one more, and all that runs there.
+        Sending it on would crash one more server and abort everything that
+        runs there.
         """
-        reason = self.suspicion.refusal()
+        reason = self.crash_check.refusal()
         if reason is NOTHING:
             return NOTHING
-        self.refused = True
+        self.refused_locally = True
         self.state.timeline.note(
             EventKind.NOT_RUN,
             request=self.id,
             reason=reason,
             route=self.route.name,
-            fingerprint=self.suspicion.fingerprint,
-            evidence=self.suspicion.evidence(),
+            fingerprint=self.crash_check.fingerprint,
+            evidence=self.crash_check.evidence(),
             **self.state.provenance.details(),
         )
-        return NotRun(reason, HELD_RETRY_AFTER)
+        return NotRun(reason, SUSPECTED_RETRY_SECONDS)
 
-    async def placed(self):
+    async def get_placement(self):
         """Return the number and the decision for the next attempt."""
-        if self.placement is NOTHING:
-            return await self.state.asking.place(self.ask())
-        placement, self.placement = self.placement, NOTHING
+        if self.next_placement is NOTHING:
+            return await self.state.coordinator.place(self.ask())
+        placement, self.next_placement = self.next_placement, NOTHING
         return placement
 
-    def note_refusal(self, refused):
-        """Put a refusal and its grounds on the time line."""
+    def log_refusal(self, refused):
+        """Log a refusal by the placement and its grounds."""
         self.state.timeline.note(
             EventKind.NOT_RUN,
             request=self.id,
@@ -229,21 +238,21 @@
             retry_after=round(refused.retry_after, 3),
             servers_open=refused.servers,
             excluded=len(self.excluded),
-            apart=self.suspicion.apart(),
+            apart=self.crash_check.apart(),
             **notice_details(refused),
             **self.state.provenance.details(),
         )
 
-    def note_limit(self, limited):
-        """Put a refusal by a limit and its grounds on the time line."""
+    def log_rate_limit(self, limited):
+        """Log a refusal by a rate limit and its grounds."""
         self.state.timeline.note(
             EventKind.NOT_RUN,
             request=self.id,
             reason=Reason.RATE_LIMIT,
             route=self.route.name,
             retry_after=round(limited.retry_after, 3),
-            workspace=self.rights.workspace,
-            cost=self.rights.cost,
+            workspace=self.permissions.workspace,
+            cost=self.permissions.cost,
             counted_by=limited.host,
             units=limited.units,
             left=limited.level,
@@ -252,47 +261,48 @@
         )
 
     def ask(self):
-        """Return the `Ask` of this moment."""
+        """Return the `PlacementQuery` of the request as it is now."""
         waited = self.state.clock.seconds() - self.arrived
-        return Ask(
+        return PlacementQuery(
             host="",
             number=0,
             service=self.service,
-            demand=replace(self.facts.demand, answer_within=self.time_left),
+            demand=replace(self.metadata.demand, answer_within=self.time_left),
             time_left=self.objective_left(waited),
             patience=self.patience(waited),
-            priority=self.rights.priority,
+            priority=self.permissions.priority,
             excluded=tuple(self.excluded),
-            regions=self.rights.homes,
+            regions=self.permissions.homes,
             avoided=tuple(self.avoided),
             may_leave=self.may_leave,
             begun=self.sink.started,
-            apart=self.suspicion.apart(),
-            workspace=self.rights.workspace,
-            cost=self.rights.cost,
+            apart=self.crash_check.apart(),
+            workspace=self.permissions.workspace,
+            cost=self.permissions.cost,
         )
 
     def patience(self, waited):
-        """Return the seconds in which the next event is of use.
+        """Return the seconds within which the next event is still of use.
 
         Args:
-            waited: Seconds since the request came.
+            waited: Seconds since the request arrived.
         """
         if not self.route.stream:
             return max(0.0, self.time_left)
         if self.sink.started:
             waited = self.state.clock.seconds() - self.last_data
         longest = max(
-            STREAM_PATIENCE, STREAM_PATIENCE_OBJECTIVES * self.route.objective
+            STREAM_PATIENCE_SECONDS,
+            STREAM_PATIENCE_OBJECTIVES * self.route.objective,
         )
-        left = longest * PATIENCE_SHARE - waited
+        left = longest * PATIENCE_FRACTION - waited
         return max(0.0, min(self.time_left, left))
 
     def objective_left(self, waited):
-        """Return the seconds in which the request is still on time.
+        """Return the seconds within which the request meets its objective.
 
-        A stream that goes on is as urgent as a new one: its caller waits
-        for the next event, and what was made is lost if none comes.
+        A stream that is resumed is as urgent as a new one: its caller waits
+        for the next event, and the work done so far is lost if none arrives.
         """
         if self.sink.started:
             return self.route.objective
@@ -307,7 +317,7 @@
             predicted=round(placed.predicted, 3),
             urgency=placed.urgency,
             copy_from=placed.copy_from,
-            placed_by=self.state.asking.placer_of(number),
+            placed_by=self.state.coordinator.placer_of(number),
             **notice_details(placed),
         )
         headers = self.state.codec.server_headers(
@@ -317,54 +327,55 @@
             urgency=self.urgency(placed),
             last_event=self.last_event,
             copy_from=placed.copy_from,
-            workspace=self.rights.workspace,
+            workspace=self.permissions.workspace,
         )
         began = self.state.clock.seconds()
         self.attempt = Attempt(
             self.state.connections,
-            Lane(placed.server_id, placed.address),
-            self.sending(headers),
+            Endpoint(placed.server_id, placed.address),
+            self.outgoing(headers),
             self.state.codec.read_head,
             self.state.clock,
-            opened=self.open_stream,
-            started=lambda: self.started(number, began),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            on_stream=self.open_stream,
+            on_first_data=lambda: self.record_start(number, began),
+            on_head=self.state.notices.head_handler(placed.server_id, self.id),
         )
-        outcome = await self.carry(placed.predicted)
-        self.state.asking.note_end(number, self.attempt.finding)
-        await self.state.endings.examine(
+        outcome = await self.run_attempt(placed.predicted)
+        self.state.coordinator.note_end(number, self.attempt.finding)
+        await self.state.crash_detector.examine(
             self.attempt, self.request.peer_ip, placed.predicted
         )
         if not isinstance(outcome, Answered) or outcome.status >= 500:
             self.excluded.append(placed.server_id)
-        if self.attempt.finding is Finding.UNREACHED:
-            self.state.connections.forget(placed.server_id)
+        if self.attempt.finding is AttemptResult.UNREACHED:
+            self.state.connections.close_idle(placed.server_id)
         return outcome
 
     def urgency(self, placed):
-        """Return the urgency for an engine, or `NOTHING`."""
-        return placed.urgency if self.facts.demand.tokens_in else NOTHING
+        """Return the urgency to send to an engine, or `NOTHING`."""
+        return placed.urgency if self.metadata.demand.tokens_in else NOTHING
 
-    def started(self, number, began):
-        """Note when the answer began."""
+    def record_start(self, number, began):
+        """Record when the response started."""
         now = self.state.clock.seconds()
-        if self.first_at is NOTHING:
-            self.first_at = now
-        self.state.asking.note_start(number, now - began)
+        if self.first_data_at is NOTHING:
+            self.first_data_at = now
+        self.state.coordinator.note_start(number, now - began)
 
     async def try_region(self, away):
         """Make an attempt through a host of another region.
 
-        A kept connection is used whatever the request: a new one costs a
-        round trip of 160 ms, and the other side keeps it five times as
-        long. Should it be dead all the same, the outcome is unknown, and
-        what must not run twice is not sent again.
+        A pooled connection is used for every kind of request. A new connection
+        costs a round trip of 160 ms, and the other side keeps idle connections
+        five times as long as this one. If the connection turns out to be
+        closed nevertheless, the outcome is unknown, and a request that must
+        not run twice is not sent again.
         """
-        far = self.state.far_hosts
+        far = self.state.remote_hosts
         member = far.choose(away.region, self.tried_hosts)
         if member is NOTHING:
             self.avoid_region(away.region)
-            return NotRun(Reason.CONNECT, CONNECT_RETRY_AFTER)
+            return NotRun(Reason.CONNECT, CONNECT_RETRY_SECONDS)
         self.tried_hosts.add(member.name)
         self.state.timeline.note(
             EventKind.SENT_AWAY,
@@ -374,42 +385,50 @@
             predicted=round(away.predicted, 3),
         )
         headers = self.state.codec.passed_on(self.request.requestHeaders)
-        headers.setRawHeaders(ORDER_HEADER, [encode_order(self.order())])
+        headers.setRawHeaders(
+            RELAY_HEADER, [encode_parameters(self.relay_parameters())]
+        )
         self.attempt = Attempt(
             self.state.connections,
-            far.lane(member),
-            self.sending(headers, kept=True),
+            far.endpoint(member),
+            self.outgoing(headers, reuse=True),
             lambda status, found: read_relay_head(
                 self.state.codec, status, found
             ),
             self.state.clock,
-            opened=self.open_stream,
-            started=self.relay_started,
+            on_stream=self.open_stream,
+            on_first_data=self.record_relay_start,
         )
-        outcome = await self.carry(away.predicted)
-        answer = self.attempt.answer
-        if answer is not NOTHING and answer.head.server_id:
-            self.excluded.append(answer.head.server_id)
+        outcome = await self.run_attempt(away.predicted)
+        buffered_response = self.attempt.buffered_response
+        if (
+            buffered_response is not NOTHING
+            and buffered_response.head.server_id
+        ):
+            self.excluded.append(buffered_response.head.server_id)
         if isinstance(outcome, NotRun):
             self.avoid_region(away.region)
-        if self.attempt.finding is Finding.UNREACHED:
-            self.state.connections.forget(member.name)
+        if self.attempt.finding is AttemptResult.UNREACHED:
+            self.state.connections.close_idle(member.name)
         return outcome
 
     def avoid_region(self, region):
-        """Try another region next; a third would come too late."""
+        """Use another region for the next try.
+
+        A try in a third region would be too late.
+        """
         self.may_leave = not self.avoided
         self.avoided.append(region)
 
-    def relay_started(self):
-        """Note when an answer from another region began."""
-        if self.first_at is NOTHING:
-            self.first_at = self.state.clock.seconds()
+    def record_relay_start(self):
+        """Record when a response from another region started."""
+        if self.first_data_at is NOTHING:
+            self.first_data_at = self.state.clock.seconds()
 
-    def order(self):
-        """Return the `RelayOrder` of this moment."""
+    def relay_parameters(self):
+        """Return the `RelayParameters` of the request at this moment."""
         ask = self.ask()
-        return RelayOrder(
+        return RelayParameters(
             self.route.name,
             self.service,
             self.route.stream,
@@ -417,44 +436,44 @@
             round(self.time_left, 4),
             round(ask.time_left, 4),
             round(ask.patience, 4),
-            self.rights.priority,
+            self.permissions.priority,
             list(self.excluded),
             self.last_event.decode("latin-1"),
             self.sink.started,
             self.request.peer_ip,
-            self.rights.workspace,
-            self.facts.key_digest,
+            self.permissions.workspace,
+            self.metadata.key_digest,
         )
 
-    def sending(self, headers, *, kept=False):
-        """Return the `Sending` of an attempt."""
+    def outgoing(self, headers, *, reuse=False):
+        """Return the `OutgoingRequest` of an attempt."""
         self.request.content.seek(0)
-        return Sending(
-            id=self.facts.id,
+        return OutgoingRequest(
+            id=self.metadata.id,
             method=self.request.method,
             uri=self.request.uri,
             headers=headers,
             body=self.request.content.read(),
             stream=self.route.stream,
-            repeatable=kept or self.route.repeatable,
-            key_digest=self.facts.key_digest,
+            repeatable=reuse or self.route.repeatable,
+            key_digest=self.metadata.key_digest,
         )
 
-    async def carry(self, predicted):
-        """Run the attempt and count what it did."""
+    async def run_attempt(self, predicted):
+        """Run the attempt and count whether it was sent and executed."""
         self.predicted = predicted
         self.attempt_began = self.state.clock.seconds()
         self.last_data = self.attempt_began
         outcome = await self.attempt.run()
         if self.attempt.sent:
-            self.arrivals += 1
+            self.sent_attempts += 1
         if not isinstance(outcome, NotRun):
-            self.runs += 1
+            self.executions += 1
         if not isinstance(outcome, Answered):
             self.state.timeline.note(
                 EventKind.ATTEMPT_ENDED,
                 request=self.id,
-                at=self.attempt.lane.key,
+                at=self.attempt.endpoint.key,
                 outcome=type(outcome).__name__,
                 reason=outcome.reason,
                 events=self.attempt.events,
@@ -462,18 +481,21 @@
             )
         return outcome
 
-    def open_stream(self, answer, response):
-        """Begin the caller's stream; return what takes whole events.
+    def open_stream(self, buffered_response, response):
+        """Start the caller's stream; return the function that takes events.
 
-        A stream that another server goes on with keeps its first head.
+        A stream that is resumed at another server keeps the head of its first
+        response.
         """
         if not self.sink.started:
-            self.sink.start(answer.status, answer.headers)
+            self.sink.start(
+                buffered_response.status, buffered_response.headers
+            )
         self.sink.pausing(response._transport)
-        return self.take_events
+        return self.forward_events
 
-    def take_events(self, events):
-        """Pass events on and remember the last one's identifier."""
+    def forward_events(self, events):
+        """Forward events and store the identifier of the last one."""
         now = self.state.clock.seconds()
         if self.last_event_at is not NOTHING:
             gap = now - self.last_event_at
@@ -484,145 +506,159 @@
             self.last_event = found
         self.sink.write(events)
 
-    def goes_on(self, outcome):
-        """Whether another attempt is to follow *outcome*."""
-        if self.final(outcome) or self.tries >= MOST_TRIES:
+    def should_retry(self, outcome):
+        """Return whether another attempt follows *outcome*."""
+        if self.is_final(outcome) or self.tries >= MAX_TRIES:
             return False
-        if self.time_left < LEAST_TIME * 2:
+        if self.time_left < MIN_ATTEMPT_SECONDS * 2:
             return False
-        if self.suspicion.refusal() is not NOTHING:
+        if self.crash_check.refusal() is not NOTHING:
             return False
-        if self.arrivals == 0 or self.retry_paid:
-            self.retry_paid = False
+        if self.sent_attempts == 0 or self.retry_spent:
+            self.retry_spent = False
             return True
-        return self.pay_retry()
+        return self.spend_retry()
 
-    def final(self, outcome):
-        """Whether nothing better than *outcome* can follow."""
+    def is_final(self, outcome):
+        """Return whether no further attempt can improve on *outcome*."""
         if isinstance(outcome, Answered):
-            if outcome.status < 500 or not self.may_run_again():
+            if outcome.status < 500 or not self.may_retry():
                 return True
-            self.kept = self.attempt.answer
+            self.fallback_response = self.attempt.buffered_response
             return False
         if outcome.reason in REFUSING_REASONS:
             return True
         if isinstance(outcome, NotRun):
-            return self.refused
+            return self.refused_locally
         if outcome.reason in FINAL_REASONS:
             return True
-        return not self.may_run_again()
-
-    def may_run_again(self):
-        """Whether the request may run at one more server."""
-        if not self.route.repeatable or self.runs >= self.route.max_attempts:
+        return not self.may_retry()
+
+    def may_retry(self):
+        """Return whether the request may run at one more server."""
+        if (
+            not self.route.repeatable
+            or self.executions >= self.route.max_attempts
+        ):
             return False
         return not self.sink.started or self.route.resumable
 
-    def pay_retry(self):
-        """Take a repeat from the budget; return whether there was one."""
+    def spend_retry(self):
+        """Take a retry from the retry budget; return whether there was one."""
         now = self.state.clock.seconds()
         hosts = len(self.state.members.live(now))
         return self.state.retries.spend(self.service, now, hosts)
 
     def check(self, now):
-        """Give up what has run out of time, or a server that is silent."""
-        if self.over:
+        """Enforce the deadline, and replace an attempt at a silent server."""
+        if self.closed:
             return
-        if now >= self.give_up_at:
+        if now >= self.deadline_at:
             self.expire()
             return
         if self.attempt is NOTHING or self.attempt.abandon_reason:
             return
-        if self.suspicion.refusal() is Reason.CRASHES_SERVERS:
+        if self.crash_check.refusal() is Reason.CRASHES_SERVERS:
             self.attempt.abandon(Reason.CRASHES_SERVERS)
             return
-        if not self.route.repeatable or self.retry_paid:
+        if not self.route.repeatable or self.retry_spent:
             return
-        with_this = self.runs + 1
-        if with_this >= self.route.max_attempts or self.moving:
+        executions_with_this = self.executions + 1
+        if executions_with_this >= self.route.max_attempts or self.switching:
             return
-        if now - self.last_data > self.silence_limit() and self.pay_retry():
-            self.retry_paid = True
-            self.moving = True
-            work = defer.ensureDeferred(self.move(self.attempt))
-            work.addErrback(self.crashed)
+        if now - self.last_data > self.silence_limit() and self.spend_retry():
+            self.retry_spent = True
+            self.switching = True
+            work = defer.ensureDeferred(self.switch_server(self.attempt))
+            work.addErrback(self.handle_error)
 
-    async def move(self, silent):
-        """Go on elsewhere in place of a silent attempt.
+    async def switch_server(self, silent):
+        """Replace an attempt at a silent server by one elsewhere.
 
-        Another place is found first: a server that is only slow would
-        have answered, and an answer that was cut for nothing is lost.
+        The other place is found before the attempt is abandoned. A server that
+        is merely slow would have responded, and the work of an attempt that is
+        abandoned without a replacement is lost.
 
         Args:
             silent: The `Attempt`.
         """
-        seen = self.last_data
-        key = silent.lane.key
+        last_data_seen = self.last_data
+        key = silent.endpoint.key
         ask = self.ask()
         ask = replace(ask, excluded=(*ask.excluded, key))
-        number, decision = await self.state.asking.place(ask)
-        self.moving = False
-        found = isinstance(decision, Placed | Away)
-        silent_still = self.attempt is silent and self.last_data == seen
-        if found and silent_still and not self.over:
-            self.placement = (number, decision)
+        number, decision = await self.state.coordinator.place(ask)
+        self.switching = False
+        found = isinstance(decision, Placed | PlacedRemotely)
+        still_silent = (
+            self.attempt is silent and self.last_data == last_data_seen
+        )
+        if found and still_silent and not self.closed:
+            self.next_placement = (number, decision)
             silent.abandon(Reason.CONNECTION_LOST, silent=True)
         else:
-            self.state.asking.note_end(number, Finding.UNUSED)
+            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
 
     def silence_limit(self):
-        """Return the seconds after which a server counts as silent."""
+        """Return the seconds after which the server counts as silent."""
         if self.attempt.events:
-            return SILENT_GAP
+            return STREAM_SILENCE_SECONDS
         return silence_limit(self.predicted)
 
     def expire(self):
-        """End the request at the time that the operator allows."""
+        """End the request when its deadline or route timeout is over."""
         attempt = self.attempt
         if attempt is not NOTHING and (attempt.sent or attempt.in_progress):
             attempt.abandon(Reason.DEADLINE)
             return
         if not self.sink.started and not self.sink.finished:
-            self.fail(NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER))
+            self.respond_failure(
+                NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
+            )
             self.close()
 
     def conclude(self, outcome):
         """Deliver the final outcome."""
         if self.sink.finished or self.sink.gone:
-            self.note_end("gone")
+            self.log_end("gone")
             return
         if isinstance(outcome, Answered):
             self.deliver(outcome)
             return
         if self.sink.started:
-            self.note_end(f"cut: {outcome.reason}")
+            self.log_end(f"cut: {outcome.reason}")
             self.sink.abort()
             return
-        if self.kept is not NOTHING:
-            self.deliver_whole(self.kept)
+        if self.fallback_response is not NOTHING:
+            self.deliver_buffered(self.fallback_response)
             return
-        self.fail(outcome)
+        self.respond_failure(outcome)
 
     def deliver(self, outcome):
-        """End a stream, or send a whole answer."""
-        if self.sink.started and self.attempt.answer is NOTHING:
+        """End a stream, or send a buffered response."""
+        if self.sink.started and self.attempt.buffered_response is NOTHING:
             self.sink.finish()
-            self.note_end("answered", outcome.status)
+            self.log_end("answered", outcome.status)
         elif self.sink.started:
-            self.note_end("cut: the server that went on failed")
+            self.log_end("cut: the server that resumed the stream failed")
             self.sink.abort()
         else:
-            self.deliver_whole(self.attempt.answer)
-
-    def deliver_whole(self, answer):
-        """Send a whole answer of a server."""
-        self.sink.whole(answer.status, answer.headers, answer.body)
-        self.note_end("answered", answer.status)
+            self.deliver_buffered(self.attempt.buffered_response)
+
+    def deliver_buffered(self, buffered_response):
+        """Send a buffered response of a server."""
+        self.sink.whole(
+            buffered_response.status,
+            buffered_response.headers,
+            buffered_response.body,
+        )
+        self.log_end("answered", buffered_response.status)
 
-    def note_end(self, how, status=0):
-        """Put the end of the request on the time line."""
+    def log_end(self, how, status=0):
+        """Log the end of the request."""
         now = self.state.clock.seconds()
-        first = self.first_at if self.first_at is not NOTHING else now
+        first = (
+            self.first_data_at if self.first_data_at is not NOTHING else now
+        )
         self.state.timeline.note(
             EventKind.ANSWERED if status else EventKind.UNKNOWN,
             request=self.id,
@@ -639,17 +675,17 @@
             **self.configuration,
         )
 
-    def fail(self, outcome):
-        """Tell the caller that there is no answer, at once."""
-        if isinstance(outcome, NotRun) and self.runs == 0:
+    def respond_failure(self, outcome):
+        """Respond at once that there is no result."""
+        if isinstance(outcome, NotRun) and self.executions == 0:
             retry_after = outcome.retry_after
             if outcome.reason is Reason.REFUSED:
-                retry_after = self.state.asking.refused_retry_after(
+                retry_after = self.state.coordinator.retry_after_for_refused(
                     self.service, retry_after
                 )
             headers = [(b"retry-after", b"%.3f" % retry_after)]
             if outcome.reason is Reason.CRASHES_SERVERS:
-                # To come back within minutes would be in vain.
+                # The block lasts for minutes, so a retry would be refused.
                 headers = []
             limited = outcome.reason is Reason.RATE_LIMIT
             status = 429 if limited else 503
@@ -658,13 +694,13 @@
             status = 504 if outcome.reason is Reason.DEADLINE else 502
             respond_refusal(self.request, status, str(outcome.reason))
         self.sink.finished = True
-        self.note_end(f"{type(outcome).__name__}: {outcome.reason}")
+        self.log_end(f"{type(outcome).__name__}: {outcome.reason}")
 
 
 def last_event_id(events):
     """Return the identifier of the last event that has one, or b""."""
-    start = events.rfind(b"\n" + EVENT_ID) + 1
-    if not events.startswith(EVENT_ID, start):
+    start = events.rfind(b"\n" + EVENT_ID_FIELD) + 1
+    if not events.startswith(EVENT_ID_FIELD, start):
         return b""
     end = events.find(b"\n", start)
-    return events[start + len(EVENT_ID) : end].strip()
+    return events[start + len(EVENT_ID_FIELD) : end].strip()
--- a/src/hyssopspring/entry/fetching.py
+++ b/src/hyssopspring/entry/fetching.py
@@ -1,4 +1,4 @@
-"""Small calls whose whole answer is wanted: store and other hosts."""
+"""Short HTTP calls to the store and to other hosts."""
 
 from twisted.internet import defer
 from twisted.web._newclient import Request as ClientRequest
@@ -6,49 +6,51 @@
 from twisted.web.http_headers import Headers
 
 from ..core.exceptions import NoAnswerError
-from .attempts import Collector, WholeBody
+from .attempts import BodyCollector, BytesProducer
 
 __all__ = ["fetch"]
 
-LONGEST_ANSWER = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
-async def fetch(connections, lane, method, uri, host, body, *, timeout, clock):
-    """Send one call and return status and body of the answer.
+async def fetch(
+    connections, endpoint, method, uri, host, body, *, timeout, clock
+):
+    """Send one call; return the status and the body of the response.
 
     Args:
         connections: The `Connections`.
-        lane: The `Lane`.
+        endpoint: The `Endpoint`.
         method: HTTP method.
         uri: Path and query.
         host: Value of the Host header.
-        body: The body, maybe empty.
-        timeout: Most seconds for all of it.
+        body: The body, which may be empty.
+        timeout: Time limit in seconds for the whole call.
         clock: The runtime's clock.
 
     Raises:
-        NoAnswerError: No whole answer came in time.
-        CancelledError: The caller has cancelled it.
+        NoAnswerError: No complete response arrived in time.
+        CancelledError: The caller has cancelled the call.
     """
-    call = _Call(connections, lane, method, uri, host, body)
+    call = _Call(connections, endpoint, method, uri, host, body)
     work = defer.ensureDeferred(call.run())
     work.addTimeout(timeout, clock)
     try:
         return await work
     except defer.CancelledError:
-        call.drop()
+        call.abort()
         raise
     except Exception as problem:
-        call.drop()
+        call.abort()
         raise NoAnswerError(repr(problem)) from problem
 
 
 class _Call:
     """One call in progress."""
 
-    def __init__(self, connections, lane, method, uri, host, body):
+    def __init__(self, connections, endpoint, method, uri, host, body):
         self.connections = connections
-        self.lane = lane
+        self.endpoint = endpoint
         self.method = method
         self.uri = uri
         self.host = host
@@ -56,26 +58,28 @@
         self.connection = None
 
     async def run(self):
-        """Send the call and read the whole answer."""
-        self.connection = await self.connections.open(self.lane, kept=True)
+        """Send the call and read the whole response."""
+        self.connection = await self.connections.open(
+            self.endpoint, reuse=True
+        )
         headers = Headers({b"host": [self.host]})
         producer = None
         if self.body:
             headers.setRawHeaders(b"content-type", [b"application/json"])
-            producer = WholeBody(self.body)
+            producer = BytesProducer(self.body)
         response = await self.connection.request(
             ClientRequest(
                 self.method, self.uri, headers, producer, persistent=True
             )
         )
-        reader = Collector(LONGEST_ANSWER)
+        reader = BodyCollector(MAX_RESPONSE_BYTES)
         response.deliverBody(reader)
         await reader.done
         if not reader.reason.check(ResponseDone):
-            raise NoAnswerError("the answer was cut")
+            raise NoAnswerError("response body was truncated")
         return response.code, reader.body
 
-    def drop(self):
-        """Close the connection of a call that failed."""
+    def abort(self):
+        """Abort the connection of a failed call."""
         if self.connection is not None:
             self.connection.transport.abortConnection()
--- a/src/hyssopspring/entry/holding.py
+++ b/src/hyssopspring/entry/holding.py
@@ -1,72 +1,80 @@
-"""Requests that wait until this host knows enough to answer them."""
+"""Queue of requests that wait until this host can process them."""
 
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["Held", "HoldingQueue"]
+__all__ = ["QueuedRequest", "HoldingQueue"]
 
-MOST_HELD = 200
-"""Requests that wait at once; the second's worth of a busy host."""
+MAX_QUEUED_REQUESTS = 200
+"""Maximum number of requests that wait at the same time; a busy host receives
+about as many in one second."""
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class QueuedRequest:
     """A request that waits.
 
     Attributes:
         request: The `WebRequest`.
-        since: Time of its arrival.
-        held_at: Time since when it waits.
-        gone: Whether its caller has left.
+        arrived: Time of its arrival.
+        queued_at: Time at which it was queued.
+        disconnected: Whether its caller has disconnected.
     """
 
     request: object
-    since: float
-    held_at: float
-    gone: bool = False
+    arrived: float
+    queued_at: float
+    disconnected: bool = False
 
-    def leave(self, reason):
-        """Note that the caller has left."""
-        self.gone = True
+    def mark_disconnected(self, reason):
+        """Record that the caller has disconnected."""
+        self.disconnected = True
 
 
 class HoldingQueue:
-    """Hold requests until they can be served, or for a short time.
+    """Queue requests until they can be served, for a limited time.
 
     Args:
         clock: The runtime's clock.
-        longest: Seconds for which a request waits at most.
-        serve: Called with each request that may be served now, and the
-            time of its arrival.
+        max_wait: Maximum number of seconds for which a request waits.
+        serve: Called with each request that may be served now, and the time of
+            its arrival.
         refuse: Called with each request that has waited for too long.
     """
 
-    def __init__(self, clock, longest, serve, refuse):
+    def __init__(self, clock, max_wait, serve, refuse):
         self.clock = clock
-        self.longest = longest
+        self.max_wait = max_wait
         self.serve = serve
         self.refuse = refuse
         self.waiting = deque()
 
-    def hold(self, request, since):
-        """Let a request wait that came at *since*; return whether it may."""
-        if len(self.waiting) >= MOST_HELD:
+    def enqueue(self, request, arrived):
+        """Queue a request; return whether there was room for it.
+
+        Args:
+            request: The `WebRequest`.
+            arrived: Time of its arrival.
+        """
+        if len(self.waiting) >= MAX_QUEUED_REQUESTS:
             return False
-        held = Held(request, since, self.clock.seconds())
-        request.notifyFinish().addErrback(held.leave)
-        self.waiting.append(held)
+        queued = QueuedRequest(request, arrived, self.clock.seconds())
+        request.notifyFinish().addErrback(queued.mark_disconnected)
+        self.waiting.append(queued)
         return True
 
     def release(self):
-        """Serve all that wait."""
+        """Serve all requests that wait."""
         waiting, self.waiting = self.waiting, deque()
-        for held in waiting:
-            if not held.gone:
-                self.serve(held.request, held.since)
-
-    def check(self, now):
-        """Refuse those that have waited for too long."""
-        while self.waiting and now - self.waiting[0].held_at >= self.longest:
-            held = self.waiting.popleft()
-            if not held.gone:
-                self.refuse(held.request)
+        for queued in waiting:
+            if not queued.disconnected:
+                self.serve(queued.request, queued.arrived)
+
+    def refuse_expired(self, now):
+        """Refuse the requests that have waited for too long."""
+        while (
+            self.waiting and now - self.waiting[0].queued_at >= self.max_wait
+        ):
+            queued = self.waiting.popleft()
+            if not queued.disconnected:
+                self.refuse(queued.request)
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -1,77 +1,78 @@
-"""Heartbeats and load reports between hosts."""
+"""Heartbeats, rosters and load reports between hosts."""
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.evidence import Finding
-from ..traffic.members import Report
-from ..traffic.regions import RegionLoad, Room
-from ..traffic.work import RANKS, Ticket
-from .hostentries import member_of
+from ..traffic.members import Subscription
+from ..traffic.regions import RegionLoad, ServerCapacity
+from ..traffic.serverhealth import AttemptResult
+from ..traffic.work import RANKS, Placement
+from .hostentries import member_from_entry
 from .messages import (
-    AskMessage,
-    EndMessage,
-    GrantMessage,
+    AttemptEndedMessage,
+    AttemptStartedMessage,
     Heartbeat,
-    LimitMessage,
-    NoticeRows,
-    Records,
-    RecordsAsk,
-    RefusalMessage,
+    HostEntriesMessage,
+    HostEntriesRequest,
+    PlacementGrantMessage,
+    PlacementQueryMessage,
+    PlacementRefusalMessage,
+    RegionLoadMessage,
     Roster,
+    ServerCapacityRow,
+    ServerNoticesMessage,
     ServiceLoad,
-    StartMessage,
     StoreChange,
-    Summary,
-    Suspects,
-    ToldRoom,
-    Transfer,
-    TransferAsk,
-    ViewAnswer,
-    ViewAsk,
+    SuspectsMessage,
+    TokenTransfer,
+    TokenTransferRequest,
+    ViewRequest,
+    ViewResponse,
+    WorkspaceLimitMessage,
 )
 from .rosters import Rosters
 
 __all__ = ["Membership"]
 
-HEARTBEAT_EVERY = 0.5
-"""Seconds between heartbeats to the hosts of the region."""
+HEARTBEAT_INTERVAL_SECONDS = 0.5
+"""Interval between heartbeats to the hosts of the region."""
 
-ROSTER_BEATS = 2
-"""Heartbeat intervals between two rosters of this region. Who is about to
-leave is told at once."""
+ROSTER_INTERVAL_HEARTBEATS = 2
+"""Heartbeat intervals between two rosters of the own region. A host that is
+shutting down is announced at once, outside this interval."""
 
-FAR_BEATS = 4
-"""Heartbeat intervals between two rosters of or to another region."""
+REMOTE_INTERVAL_HEARTBEATS = 4
+"""Heartbeat intervals between two rosters of, or to, another region."""
 
-AT_ONCE = 6
-PAUSE = 0.02
-"""Hosts to which the same is sent at once, and seconds to the next ones. A
-host that sends to its whole region in one go fills a link of 20 Mbit/s, and
-what it sends last, to other regions, is always lost."""
+SEND_BATCH_HOSTS = 6
+SEND_BATCH_PAUSE_SECONDS = 0.02
+"""Hosts that are sent a message in one batch, and the pause between batches. A
+host that sends to its whole region in one burst saturates a 20 Mbit/s link,
+which then always drops the datagrams sent last, those for other regions."""
 
-FAR_ANSWER = 6.5
-"""Seconds within which a host of another region must answer a report: the
-third in a row is without an answer by then."""
+REMOTE_REPLY_SECONDS = 6.5
+"""Time within which a host of another region must answer a report. By then
+three reports in a row have gone unanswered."""
 
-CONTACTS = 3
-"""Hosts of a region that a host reports to: the one that places, and two
-that would follow. With two, the loss of a data centre leaves a region
-without any one time in two. Placing hosts report to as many elsewhere."""
+MAX_CONTACTS = 3
+"""Hosts of a region that a host reports to: the placing host and two
+candidates to replace it. With only one candidate, the loss of a data centre
+leaves the region without any of them in one case of two. Placing hosts report
+to the same number of hosts in each other region."""
 
-SUMMARY_EVERY = 0.2
-"""Seconds between load reports to other regions; loads change within the
-time of a few requests."""
+LOAD_REPORT_INTERVAL_SECONDS = 0.2
+"""Interval between load reports to other regions. Loads change within the
+duration of a few requests."""
 
-INFORMED_HOSTS = 2
-"""Hosts of the region that hear of work in progress: the one that places,
-and the one that would take over."""
+PLACEMENT_REPORT_HOSTS = 2
+"""Hosts of the region that receive the placements in progress: the placing
+host and the first candidate to replace it."""
 
-UNCONFIRMED = 0.7
-"""Seconds after which a placed request that its host does not name any
-more is taken as ended."""
+UNCONFIRMED_PLACEMENT_SECONDS = 0.7
+"""Age from which a placement that its host no longer reports is treated as
+ended."""
 
-FORGET_AFTER = 30.0
-"""Seconds without a word after which a host is forgotten."""
+FORGET_HOST_SECONDS = 30.0
+"""Time without any message about a host after which it is forgotten."""
 
 
 class Membership:
@@ -79,195 +80,213 @@
 
     Args:
         members: The `Members`.
-        asking: The `Asking`.
+        coordinator: The `PlacementCoordinator`.
         placer: The `Placer`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        changed: Called with a `Member` that has newer state than this
-            host.
-        store_changed: Called with a `StoreChange` of another host.
+        on_peer_ahead: Called with a `Member` whose state is newer than that
+            of this host.
+        on_store_change: Called with a `StoreChange` of another host.
         sharing: The `CrashSharing`.
-        notices: The `Notices`.
-        views: The `ViewChecking`.
+        notices: The `ServerNotices`.
+        views: The `ViewVerifier`.
     """
 
     def __init__(
         self,
         members,
-        asking,
+        coordinator,
         placer,
         datagrams,
         clock,
         timeline,
-        changed,
-        store_changed,
+        on_peer_ahead,
+        on_store_change,
         sharing,
         notices,
         views,
     ):
         self.members = members
-        self.asking = asking
+        self.coordinator = coordinator
         self.placer = placer
         self.datagrams = datagrams
         self.clock = clock
         self.timeline = timeline
-        self.changed = changed
+        self.on_peer_ahead = on_peer_ahead
         self.sharing = sharing
         self.notices = notices
-        self.beats = 0
-        self.far_contacts = []
-        self.was_live = set()
+        self.heartbeats_sent = 0
+        self.remote_contacts = []
+        self.previously_live = set()
         self.rosters = Rosters(members, datagrams, clock)
         self.handlers = {
-            Heartbeat: self.take_heartbeat,
-            Roster: self.take_roster,
-            RecordsAsk: self.rosters.tell_records,
-            Records: self.rosters.take_records,
-            AskMessage: self.take_ask,
-            GrantMessage: self.take_answer,
-            RefusalMessage: self.take_answer,
-            LimitMessage: self.take_answer,
-            TransferAsk: asking.limiting.take_question,
-            Transfer: asking.limiting.take_transfer,
-            StartMessage: self.take_start,
-            EndMessage: self.take_end,
-            Summary: self.take_summary,
-            StoreChange: store_changed,
-            Suspects: sharing.take,
-            NoticeRows: notices.take,
-            ViewAsk: views.take_question,
-            ViewAnswer: views.take_answer,
+            Heartbeat: self.handle_heartbeat,
+            Roster: self.handle_roster,
+            HostEntriesRequest: self.rosters.handle_records_request,
+            HostEntriesMessage: self.rosters.handle_records,
+            PlacementQueryMessage: self.handle_placement_query,
+            PlacementGrantMessage: self.handle_placement_reply,
+            PlacementRefusalMessage: self.handle_placement_reply,
+            WorkspaceLimitMessage: self.handle_placement_reply,
+            TokenTransferRequest: coordinator.limiter.handle_transfer_request,
+            TokenTransfer: coordinator.limiter.handle_transfer,
+            AttemptStartedMessage: self.handle_attempt_started,
+            AttemptEndedMessage: self.handle_attempt_ended,
+            RegionLoadMessage: self.handle_load_report,
+            StoreChange: on_store_change,
+            SuspectsMessage: sharing.merge,
+            ServerNoticesMessage: notices.merge,
+            ViewRequest: views.handle_request,
+            ViewResponse: views.handle_response,
         }
 
     def receive(self, message, ip):
-        """Take one message of another host.
+        """Dispatch one message from another host to its handler.
 
-        Only a heartbeat may come from a host that is not known yet, and
-        it must come from the address that it names.
+        Only a heartbeat is accepted from an unknown host, and only if it
+        arrives from the address that it names.
         """
         if isinstance(message, Heartbeat):
             known = message.control.rpartition(":")[0] == ip
         else:
             known = self.members.is_known(ip)
         if not known:
-            self.timeline.note(EventKind.PEER_REFUSED, why=f"from {ip}")
+            self.timeline.note(
+                EventKind.PEER_REFUSED, why=f"unexpected sender {ip}"
+            )
             return
         self.handlers[type(message)](message)
 
-    def beat(self):
-        """Report to a few hosts, answer those that report to this one."""
+    def send_heartbeats(self):
+        """Report to the contacts, and answer the hosts that report here."""
         now = self.clock.seconds()
         region = self.members.own.region
-        contacts = self.members.contacts(now, region, CONTACTS)
-        probed = self.members.probed(now, region, self.beats)
-        self.report(contacts)
+        contacts = self.members.report_targets(now, region, MAX_CONTACTS)
+        probed = self.members.probe_targets(now, region, self.heartbeats_sent)
+        self.report_to_contacts(contacts)
         self.datagrams.send_all(
-            self.heartbeat(Report.HEARTBEATS),
+            self.heartbeat(Subscription.HEARTBEATS),
             [one for one in probed if one not in contacts],
         )
-        self.beats += 1
-        if self.beats % FAR_BEATS == 0 and self.places(now):
-            self.report_far(now)
+        self.heartbeats_sent += 1
+        if (
+            self.heartbeats_sent % REMOTE_INTERVAL_HEARTBEATS == 0
+            and self.is_placing(now)
+        ):
+            self.report_to_remote_regions(now)
         reporting = self.members.reporting(now)
-        self.send_to_many(
+        self.send_in_batches(
             self.heartbeat(),
             [one for one in reporting if one not in contacts],
         )
         self.send_rosters(reporting, now)
-        self.notice_gone(now)
+        self.update_live_hosts(now)
 
-    def report(self, contacts):
+    def report_to_contacts(self, contacts):
         """Send heartbeats to the hosts that this one reports to.
 
-        The first of them tells of all others.
+        The first of them sends rosters of all other hosts in return.
         """
-        tickets = self.asking.open_tickets()
+        placements = self.coordinator.placement_rows()
         reports = (
-            (contacts[:1], self.heartbeat(Report.ROSTERS, tickets)),
+            (contacts[:1], self.heartbeat(Subscription.ROSTERS, placements)),
+            (
+                contacts[1:PLACEMENT_REPORT_HOSTS],
+                self.heartbeat(Subscription.HEARTBEATS, placements),
+            ),
             (
-                contacts[1:INFORMED_HOSTS],
-                self.heartbeat(Report.HEARTBEATS, tickets),
+                contacts[PLACEMENT_REPORT_HOSTS:],
+                self.heartbeat(Subscription.HEARTBEATS),
             ),
-            (contacts[INFORMED_HOSTS:], self.heartbeat(Report.HEARTBEATS)),
         )
         for members, message in reports:
             if members:
                 self.datagrams.send_all(message, members)
 
     def send_rosters(self, reporting, now):
-        """Tell who lives, to those that count on this host for it."""
-        wanting = [one for one in reporting if one.wants is Report.ROSTERS]
+        """Send rosters to the hosts that rely on this one for them."""
+        recipients = [
+            one
+            for one in reporting
+            if one.subscription is Subscription.ROSTERS
+        ]
         regions = []
-        if self.beats % ROSTER_BEATS == 0:
+        if self.heartbeats_sent % ROSTER_INTERVAL_HEARTBEATS == 0:
             regions.append(self.members.own.region)
-        if self.beats % FAR_BEATS == 1:
+        if self.heartbeats_sent % REMOTE_INTERVAL_HEARTBEATS == 1:
             regions += self.other_regions()
-        for region in regions if wanting else ():
-            self.send_to_many(self.rosters.roster(region, now), wanting)
+        for region in regions if recipients else ():
+            self.send_in_batches(self.rosters.roster(region, now), recipients)
 
     def other_regions(self):
-        """Return the other regions of which hosts are known."""
+        """Return the other regions of which at least one host is known."""
         known = {member.region for member in self.members.others.values()}
         return sorted(known - {self.members.own.region})
 
-    def report_far(self, now):
-        """Tell a few hosts of each other region who lives here.
+    def report_to_remote_regions(self, now):
+        """Send this region's roster to a few hosts of each other region.
 
-        A roster is believed only from a host that is known; the heartbeat
-        makes this one known.
+        A roster is accepted only from a known host; the heartbeat that
+        precedes it makes this host known.
         """
-        self.far_contacts = self.choose_far(self.other_regions(), now)
-        self.datagrams.send_all(self.heartbeat(), self.far_contacts)
+        self.remote_contacts = self.choose_remote_contacts(
+            self.other_regions(), now
+        )
+        self.datagrams.send_all(self.heartbeat(), self.remote_contacts)
         roster = self.rosters.roster(self.members.own.region, now)
-        self.datagrams.send_all(roster, self.far_contacts)
+        self.datagrams.send_all(roster, self.remote_contacts)
 
-    def send_to_many(self, message, members):
-        """Send *message* to hosts of the region, a few at a time."""
-        for first in range(0, len(members), AT_ONCE):
-            some = members[first : first + AT_ONCE]
+    def send_in_batches(self, message, members):
+        """Send a message to hosts of the region, a few at a time."""
+        for first in range(0, len(members), SEND_BATCH_HOSTS):
+            batch = members[first : first + SEND_BATCH_HOSTS]
             if not first:
-                self.datagrams.send_all(message, some)
+                self.datagrams.send_all(message, batch)
                 continue
             self.clock.callLater(
-                PAUSE * first / AT_ONCE,
+                SEND_BATCH_PAUSE_SECONDS * first / SEND_BATCH_HOSTS,
                 self.datagrams.send_all,
                 message,
-                some,
+                batch,
             )
 
-    def choose_far(self, regions, now):
+    def choose_remote_contacts(self, regions, now):
         """Return the hosts of other regions to report to."""
         chosen = []
         for region in regions:
-            chosen += self.members.contacts(now, region, CONTACTS, FAR_ANSWER)
-            probed = self.members.probed(now, region, self.beats // FAR_BEATS)
+            chosen += self.members.report_targets(
+                now, region, MAX_CONTACTS, REMOTE_REPLY_SECONDS
+            )
+            probed = self.members.probe_targets(
+                now, region, self.heartbeats_sent // REMOTE_INTERVAL_HEARTBEATS
+            )
             chosen += [one for one in probed if one not in chosen]
         return chosen
 
-    def places(self, now):
-        """Whether this host places for its region."""
+    def is_placing(self, now):
+        """Return whether this host places requests for its region."""
         return self.members.placers(now)[0] is self.members.own
 
-    def welcome(self, member):
-        """Tell a host that has just started what it needs at once.
+    def send_initial_state(self, member):
+        """Send a host that has just started the state that it needs at once.
 
-        Until it has heard of other hosts and of their load it refuses
-        what its own region cannot serve.
+        Until it has received the state and load of other hosts, it rejects
+        requests that its own region cannot serve.
         """
         if member is None:
             return
         self.datagrams.send(self.heartbeat(), member.control)
-        far = member.region != self.members.own.region
-        if far and self.places(self.clock.seconds()):
-            self.datagrams.send(self.summary(), member.control)
+        is_remote = member.region != self.members.own.region
+        if is_remote and self.is_placing(self.clock.seconds()):
+            self.datagrams.send(self.load_report(), member.control)
 
-    def heartbeat(self, report=Report.NONE, tickets=None):
-        """Return the heartbeat of this moment.
+    def heartbeat(self, report=Subscription.NONE, placements=None):
+        """Return a heartbeat with the current state.
 
         Args:
-            report: The `Report`.
-            tickets: `OpenTicket` of each request in progress, or None.
+            report: The `Subscription`.
+            placements: `PlacementRow` of each request in progress, or None.
         """
         own = self.members.own
         return Heartbeat(
@@ -285,68 +304,68 @@
             own.version,
             own.revisions,
             report,
-            tickets,
+            placements,
             self.sharing.crashes.digest,
             self.notices.digest,
         )
 
-    def notice_gone(self, now):
-        """Forget the work of hosts that fell silent."""
+    def update_live_hosts(self, now):
+        """Log hosts that appear or time out; drop the work of the latter."""
         live = {member.name for member in self.members.live(now)}
-        for name in self.was_live - live:
+        for name in self.previously_live - live:
             self.placer.forget_host(name, now)
             self.timeline.note(EventKind.PEER_GONE, peer=name)
-        for name in live - self.was_live:
+        for name in live - self.previously_live:
             self.timeline.note(EventKind.PEER_SEEN, peer=name)
-        self.was_live = live
-        self.members.forget_silent(now, FORGET_AFTER)
+        self.previously_live = live
+        self.members.remove_silent(now, FORGET_HOST_SECONDS)
 
-    def far_hosts_to_tell(self):
-        """Return the hosts of other regions to tell news, if this places."""
-        if not self.places(self.clock.seconds()):
+    def remote_hosts_to_notify(self):
+        """Return the remote hosts to notify if this host places, else none."""
+        if not self.is_placing(self.clock.seconds()):
             return []
-        return self.far_contacts
+        return self.remote_contacts
 
-    def spread(self, message):
-        """Send *message* to all other hosts of the region."""
+    def broadcast_in_region(self, message):
+        """Send a message to all other hosts of the region."""
         region = self.members.own.region
         others = self.members.others.values()
         self.datagrams.send_all(
             message, [one for one in others if one.region == region]
         )
 
-    def summarize(self):
-        """Tell the other regions this one's load, if this host places."""
+    def send_load_report(self):
+        """Send this region's load to the other regions if this host places."""
         now = self.clock.seconds()
         self.placer.sweep(now)
-        if self.far_contacts and self.places(now):
-            self.datagrams.send_all(self.summary(), self.far_contacts)
+        if self.remote_contacts and self.is_placing(now):
+            self.datagrams.send_all(self.load_report(), self.remote_contacts)
 
-    def summary(self):
-        """Return this region's load as this host sees it."""
+    def load_report(self):
+        """Return this region's load as recorded at this host."""
         loads = self.placer.summarize(self.clock.seconds())
-        return Summary(
+        return RegionLoadMessage(
             self.members.own.region,
-            {service: told_load(load) for service, load in loads.items()},
+            {service: encode_load(load) for service, load in loads.items()},
         )
 
-    def take_heartbeat(self, message):
-        """Note that a host is up, and what it has."""
+    def handle_heartbeat(self, message):
+        """Record that a host is up, and the state that it reports."""
         now = self.clock.seconds()
         member = self.members.others.get(message.host)
         if member is None or message.incarnation != member.incarnation:
-            self.members.learn(member_of(message), spoke_at=now)
+            self.members.add(member_from_entry(message), announced_at=now)
             learned = self.members.others.get(message.host)
             if learned is not member:
                 member = learned
                 self.placer.forget_host(message.host, now)
-                self.welcome(member)
+                self.send_initial_state(member)
         if member is None or message.incarnation != member.incarnation:
             return
-        member.heard_at = now
+        member.last_heartbeat_at = now
         leaves = message.leaving and not member.leaving
-        member.wants = message.report
-        if message.report is not Report.NONE:
+        member.subscription = message.report
+        if message.report is not Subscription.NONE:
             member.reported_at = now
         member.leaving = message.leaving
         member.up_seconds = message.up_seconds
@@ -354,66 +373,71 @@
         member.version = message.version
         member.revisions = message.revisions
         if leaves:
-            self.tell_leaving(member, now)
+            self.announce_leaving(member, now)
         own = self.members.own
         if member.is_ahead(own.version, own.revisions):
-            self.changed(member)
+            self.on_peer_ahead(member)
         self.sharing.compare(member, message.crashes)
         self.notices.compare(member, message.notices)
-        if message.tickets is not None:
-            self.take_tickets(message, now)
+        if message.placements is not None:
+            self.handle_placements(message, now)
 
-    def tell_leaving(self, member, now):
-        """Tell at once that a host is about to leave.
+    def announce_leaving(self, member, now):
+        """Announce at once that a host is shutting down.
 
-        It serves on for little longer than callers keep an answer of the
-        directory, which must not name it any more.
+        It keeps serving for only slightly longer than callers cache an answer
+        of the directory, so the directory must stop naming it immediately.
         """
-        wanting = [
+        recipients = [
             one
             for one in self.members.reporting(now)
-            if one.wants is Report.ROSTERS
+            if one.subscription is Subscription.ROSTERS
         ]
-        self.send_to_many(self.rosters.about(member, now), wanting)
+        self.send_in_batches(
+            self.rosters.single_host_roster(member, now), recipients
+        )
 
-    def take_roster(self, message):
-        """Note which hosts live; answer a host of another region.
+    def handle_roster(self, message):
+        """Record which hosts are up, and answer a host of another region.
 
-        Right after a start that one may know just a few hosts here, and
-        not the one that places. It learns of the others by the roster.
+        Right after its start that host may know only a few hosts here, and not
+        the placing one. The roster in the answer names the others.
         """
-        self.rosters.take(message)
+        self.rosters.handle_roster(message)
         sender = self.members.others.get(message.host)
         own = self.members.own.region
         if sender is None or sender.region == own:
             return
         self.datagrams.send(self.heartbeat(), sender.control)
         now = self.clock.seconds()
-        if not self.places(now):
+        if not self.is_placing(now):
             roster = self.rosters.roster(own, now)
             self.datagrams.send(roster, sender.control)
 
-    def take_tickets(self, message, now):
-        """Make the work of a host agree with what it says."""
-        numbers = {ticket.number for ticket in message.tickets}
-        self.placer.keep_only(
-            message.host, numbers, now, older_than=UNCONFIRMED
+    def handle_placements(self, message, now):
+        """Replace the recorded placements of a host by the reported ones."""
+        numbers = {placement.number for placement in message.placements}
+        self.placer.retain_placements(
+            message.host,
+            numbers,
+            now,
+            older_than=UNCONFIRMED_PLACEMENT_SECONDS,
         )
-        for row in message.tickets:
-            self.placer.adopt(ticket_of(message.host, row, now), now)
+        for row in message.placements:
+            self.placer.adopt(decode_placement(message.host, row, now), now)
 
-    def take_ask(self, message):
-        """Place a request of another host."""
+    def handle_placement_query(self, message):
+        """Place a request for another host."""
         member = self.members.others.get(message.host)
         if member is not None:
-            self.asking.take_question(message, member)
+            self.coordinator.enqueue_query(message, member)
 
-    def take_answer(self, message):
-        """Take the decision of a placing host."""
-        self.asking.take_answer(message)
+    def handle_placement_reply(self, message):
+        """Pass on the decision of a placing host."""
+        self.coordinator.handle_answer(message)
 
-    def take_start(self, message):
-        """Note the first event of another host's request."""
+    def handle_attempt_started(self, message):
+        """Record the first event of another host's request."""
         self.placer.note_start(
             message.host,
             message.number,
@@ -421,65 +445,67 @@
             self.clock.seconds(),
         )
 
-    def take_end(self, message):
-        """Note the end of another host's attempt."""
-        self.asking.take_end(
+    def handle_attempt_ended(self, message):
+        """Record the end of another host's attempt."""
+        self.coordinator.handle_end(
             message.host,
             message.number,
             message.server_id,
-            Finding(message.finding),
+            AttemptResult(message.finding),
         )
 
-    def take_summary(self, message):
-        """Take over another region's load."""
+    def handle_load_report(self, message):
+        """Record another region's load."""
         now = self.clock.seconds()
-        self.placer.take_load(
+        self.placer.apply_load_report(
             message.region,
             {
-                service: heard_load(load)
+                service: decode_load(load)
                 for service, load in message.loads.items()
             },
             now,
         )
 
 
-def told_load(load):
-    """Return the `ServiceLoad` of a `RegionLoad`."""
-    rooms = [
-        ToldRoom(
-            [round(wait * 1000) for wait in room.waits],
-            round(room.used * 100),
-            round(room.token_seconds * 1e6),
-            -1 if room.spare is NOTHING else room.spare,
+def encode_load(load):
+    """Return a `RegionLoad` as a `ServiceLoad` message."""
+    capacities = [
+        ServerCapacityRow(
+            [round(wait * 1000) for wait in capacity.waits],
+            round(capacity.occupancy * 100),
+            round(capacity.token_seconds * 1e6),
+            -1 if capacity.spare is NOTHING else capacity.spare,
         )
-        for room in load.rooms
+        for capacity in load.capacities
     ]
-    return ServiceLoad(load.slots, rooms, list(load.read))
+    return ServiceLoad(load.slots, capacities, list(load.prefilled_parts))
 
 
-def heard_load(load):
-    """Return the `RegionLoad` of a `ServiceLoad`."""
-    rooms = [
-        Room(
-            tuple(millis / 1000 for millis in told.waits),
-            told.used / 100,
-            told.token_micros / 1e6,
-            told.spare if told.spare >= 0 else NOTHING,
+def decode_load(load):
+    """Return a `ServiceLoad` message as a `RegionLoad`."""
+    capacities = [
+        ServerCapacity(
+            tuple(millis / 1000 for millis in row.waits),
+            row.occupancy / 100,
+            row.token_micros / 1e6,
+            row.spare if row.spare >= 0 else NOTHING,
         )
-        for told in load.rooms
-        if len(told.waits) == RANKS
+        for row in load.capacities
+        if len(row.waits) == RANKS
     ]
-    return RegionLoad(load.slots, tuple(rooms), tuple(load.read))
+    return RegionLoad(
+        load.slots, tuple(capacities), tuple(load.prefilled_parts)
+    )
 
 
-def ticket_of(host, row, now):
-    """Return the `Ticket` of a row in a heartbeat."""
-    return Ticket(
+def decode_placement(host, row, now):
+    """Return the `Placement` of a row in a heartbeat."""
+    return Placement(
         host=host,
         number=row.number,
         server_id=row.server_id,
         placed_at=now,
-        fresh_tokens=row.fresh_tokens,
+        uncached_tokens=row.uncached_tokens,
         tokens=row.tokens,
         tokens_out=row.tokens_out,
         urgency=row.urgency,
--- a/src/hyssopspring/entry/mirrors.py
+++ b/src/hyssopspring/entry/mirrors.py
@@ -1,4 +1,4 @@
-"""A copy of part of the store, and the loop that keeps it current."""
+"""A local mirror of a store prefix, and the watcher that keeps it current."""
 
 from dataclasses import dataclass
 
@@ -8,56 +8,56 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError
 from ..core.sentinels import NOTHING
-from .provenance import Origin, Way
+from .provenance import Channel, Origin
 
 __all__ = [
-    "REMOVALS_KEPT",
+    "MAX_REMOVALS",
     "Changes",
-    "Contact",
-    "Follower",
     "HistoryLostError",
     "Mirror",
+    "PrefixWatcher",
     "Removal",
+    "StoreContact",
 ]
 
-WATCH_SECONDS = 12.0
-"""Seconds for which a watch waits; a call is paid for each, and a silent
-connection shows by its own probes well before."""
+WATCH_WAIT_SECONDS = 12.0
+"""Time for which a watch call waits for changes. Each call is billed, and a
+silent connection is detected by its own probes well before this time."""
 
-WATCH_PAUSE = 0.2
-"""Seconds between an answer of a watch that brought something and the next
-call. Changes come in bursts, when servers register or are replaced, and
-each answer is paid for; the bounds on changes are several seconds."""
+WATCH_PAUSE_SECONDS = 0.2
+"""Pause between a watch answer with changes and the next call. Changes come in
+bursts, when servers register or are replaced, and each answer is billed; the
+time limits for changes are several seconds."""
 
-STARTING_PAUSE = 0.8
-"""The same for a host that has just started, and so watches until it hears
-of those that watch for it. When all start together each would make five
-calls while servers register."""
+STARTING_PAUSE_SECONDS = 0.8
+"""The same pause for a host that has just started. It watches by itself until
+it receives messages from the hosts that watch for the region. When all hosts
+start together, each would otherwise make five calls while servers register."""
 
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 0.8
-"""Bounds of the pause after a failed call, in seconds: at most one call a
-second from each host while the store is away."""
+MIN_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 0.8
+"""Bounds of the pause after a failed call. While the store is down, each host
+makes at most about one call a second."""
 
-UNKNOWING_PAUSE = 0.3
-"""Longest pause of a host that has never read the store: it serves nobody
-until it has."""
+MAX_INITIAL_RETRY_SECONDS = 0.3
+"""Longest pause of a host that has never read the store. Such a host cannot
+serve any request until it has."""
 
-OVERTAKEN_FOR = 0.9
-"""Seconds for which a watch may lack what the mirror has by other ways. A
-watch that lives brings it within a few round trips."""
+WATCH_LAG_SECONDS = 0.9
+"""Time for which a watch may lack a change that the mirror has received
+through another channel. A live watch delivers it within a few round trips."""
 
-LOST_AFTER = 0.6
-"""Seconds of failing calls after which the store counts as away."""
+STORE_DOWN_SECONDS = 0.6
+"""Duration of failing calls after which the store counts as down."""
 
-RETURN_SECONDS = 2.2
-"""Seconds after the store's return in which lapsed registrations may
-still come back."""
+RECOVERY_SECONDS = 2.2
+"""Time after the store's recovery in which expired registrations may still be
+renewed."""
 
 
-REMOVALS_KEPT = 1000
-"""Removed keys that are remembered; word of a change that is later than a
-thousand removals does not arrive any more."""
+MAX_REMOVALS = 1000
+"""Number of removed keys that are remembered. A delayed message about an
+earlier change no longer arrives after a thousand later removals."""
 
 
 class HistoryLostError(KeyValueError):
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed since a revision.
+    """The changes since a revision.
 
     Attributes:
         entries: `Entry` of each key that was written.
         removals: `Removal` of each key that was removed.
-        revision: Revision from which to go on.
+        revision: Revision from which to continue.
     """
 
     entries: tuple = ()
@@ -96,52 +96,55 @@
     """A copy of all keys below a prefix.
 
     Args:
-        written: Called with each `Entry` that is new to the copy.
-        removed: Called with each key that is gone, and whether it went
-            while the store was away.
+        on_written: Called with each `Entry` that is new to the copy.
+        on_removed: Called with each key that was removed, and whether it was
+            removed while the store was down.
 
     Attributes:
-        origin: `Origin` of what was taken over last, or `NOTHING`.
+        origin: `Origin` of the last change applied, or `NOTHING`.
         removals: Revision at which each removed key was last known to be
-            gone.
-        newest: Newest revision that it reflects. A listing names that of
-            the store, which rises with other keys too.
-        latest: Revision of the newest change among its own keys.
+            absent.
+        newest_revision: Newest revision that the mirror reflects. A listing
+            names the revision of the whole store, which also rises with other
+            keys.
+        newest_change_revision: Revision of the newest change among its own
+            keys.
+        loaded: Whether a listing has been applied.
     """
 
-    def __init__(self, written, removed):
+    def __init__(self, on_written, on_removed):
         self.entries = {}
         self.removals = {}
-        self.written = written
-        self.removed = removed
-        self.newest = 0
-        self.latest = 0
-        self.known = False
+        self.on_written = on_written
+        self.on_removed = on_removed
+        self.newest_revision = 0
+        self.newest_change_revision = 0
+        self.loaded = False
         self.origin = NOTHING
 
     def replace(self, entries, newest, *, outage=False, origin=NOTHING):
-        """Take over a whole listing, but for keys that changed after it.
+        """Apply a full listing, except for keys that changed after it.
 
         Args:
             entries: Each `Entry`.
             newest: Revision that the listing reflects.
-            outage: Whether the store has just come back.
+            outage: Whether the store has just recovered.
             origin: The `Origin` of the listing.
         """
         self.origin = origin
         listed = {entry.key for entry in entries}
         for key in [key for key in self.entries if key not in listed]:
-            self.drop(Removal(key, newest), outage)
+            self.remove(Removal(key, newest), outage)
         for entry in entries:
             if self.removals.get(entry.key, newest) < newest:
-                # It exists at a later revision than that removal.
+                # The key exists at a later revision than the recorded removal.
                 del self.removals[entry.key]
             self.put(entry)
-        self.newest = max(self.newest, newest)
-        self.known = True
+        self.newest_revision = max(self.newest_revision, newest)
+        self.loaded = True
 
     def difference(self, listing):
-        """Return the `Changes` that a listing brings."""
+        """Return the `Changes` between the mirror and a listing."""
         listed = {entry.key for entry in listing.entries}
         return Changes(
             tuple(
@@ -163,14 +166,15 @@
         return 0 if known is None else known.revision
 
     def refresh(self, listing):
-        """Take over a listing that was read beside the watch.
+        """Apply a listing that was read in addition to the watch.
 
-        Most bring nothing new. The newest revision stays then as it is:
-        the store's own rises all the time, and hosts that see a higher one
-        elsewhere read a copy. One that is older than what the watch has
-        brought lacks keys that were written since.
+        Most listings contain nothing new. The newest revision then stays as it
+        is: the revision of the store rises all the time, and hosts that see a
+        higher revision at a peer read its snapshot. A listing older than what
+        the watch has delivered is ignored, because it lacks keys written
+        since.
         """
-        if listing.revision < self.newest:
+        if listing.revision < self.newest_revision:
             return
         listed = {entry.key: entry.revision for entry in listing.entries}
         known = {one.key: one.revision for one in self.entries.values()}
@@ -178,54 +182,58 @@
             self.replace(
                 listing.entries,
                 listing.revision,
-                origin=Origin(Way.LISTING),
+                origin=Origin(Channel.LISTING),
             )
 
     def apply(self, changes, *, outage=False, origin=NOTHING):
-        """Take over what has changed."""
+        """Apply changes in the order of their revisions."""
         self.origin = origin
         rows = [(entry.revision, entry) for entry in changes.entries]
         rows += [(removal.revision, removal) for removal in changes.removals]
         for revision, row in sorted(rows, key=lambda pair: pair[0]):
-            self.newest = max(self.newest, revision)
+            self.newest_revision = max(self.newest_revision, revision)
             if isinstance(row, Removal):
-                self.latest = max(self.latest, revision)
-                self.drop(row, outage)
+                self.newest_change_revision = max(
+                    self.newest_change_revision, revision
+                )
+                self.remove(row, outage)
             else:
                 self.put(row)
 
     def put(self, entry):
-        """Take over one entry unless it is older than the known one."""
+        """Apply one entry unless it is older than the known one."""
         known = self.entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
             return
         if self.removals.get(entry.key, 0) >= entry.revision:
             return
         self.entries[entry.key] = entry
-        self.newest = max(self.newest, entry.revision)
-        self.latest = max(self.latest, entry.revision)
-        self.written(entry)
+        self.newest_revision = max(self.newest_revision, entry.revision)
+        self.newest_change_revision = max(
+            self.newest_change_revision, entry.revision
+        )
+        self.on_written(entry)
 
-    def drop(self, removal, outage):
-        """Remove one key unless it was written again since."""
+    def remove(self, removal, outage):
+        """Remove one key unless it has been written again since."""
         known = self.entries.get(removal.key)
         if known is not None and known.revision > removal.revision:
             return
-        self.remember(removal)
+        self.record_removal(removal)
         if known is not None:
             del self.entries[removal.key]
-            self.removed(removal.key, outage)
+            self.on_removed(removal.key, outage)
 
-    def remember(self, removal):
-        """Remember a removal, and forget the oldest if there are many."""
+    def record_removal(self, removal):
+        """Record a removal; drop the oldest record if there are too many."""
         before = self.removals.pop(removal.key, 0)
         self.removals[removal.key] = max(before, removal.revision)
-        if len(self.removals) > REMOVALS_KEPT:
+        if len(self.removals) > MAX_REMOVALS:
             del self.removals[next(iter(self.removals))]
 
 
-class Contact:
-    """When the store was last heard, and since when it is away.
+class StoreContact:
+    """The time of the last answer of the store, and its outages.
 
     Args:
         clock: The runtime's clock.
@@ -235,62 +243,65 @@
     def __init__(self, clock, timeline):
         self.clock = clock
         self.timeline = timeline
-        self.heard_at = NOTHING
+        self.last_reply_at = NOTHING
         self.failing_since = NOTHING
-        self.back_at = NOTHING
-        self.away = False
+        self.recovered_at = NOTHING
+        self.unavailable = False
 
-    def heard(self):
-        """Note an answer of the store."""
+    def record_reply(self):
+        """Record an answer of the store."""
         now = self.clock.seconds()
-        self.heard_at = now
+        self.last_reply_at = now
         self.failing_since = NOTHING
-        if self.away:
-            self.away = False
-            self.back_at = now
+        if self.unavailable:
+            self.unavailable = False
+            self.recovered_at = now
             self.timeline.note(EventKind.PLATFORM_BACK)
 
-    def failed(self, why):
-        """Note a call without an answer."""
+    def record_failure(self, why):
+        """Record a call without an answer."""
         now = self.clock.seconds()
         if self.failing_since is NOTHING:
             self.failing_since = now
-        if now - self.failing_since >= LOST_AFTER and not self.away:
-            self.away = True
+        if (
+            now - self.failing_since >= STORE_DOWN_SECONDS
+            and not self.unavailable
+        ):
+            self.unavailable = True
             self.timeline.note(EventKind.PLATFORM_DOWN, why=why)
 
     @property
     def age(self):
-        """Seconds since the store was heard."""
-        if self.heard_at is NOTHING:
+        """Seconds since the last answer of the store."""
+        if self.last_reply_at is NOTHING:
             return 1e6
-        return self.clock.seconds() - self.heard_at
+        return self.clock.seconds() - self.last_reply_at
 
     @property
-    def returning(self):
-        """Whether the store is away or has come back a moment ago."""
-        if self.away or self.failing_since is not NOTHING:
+    def recovering(self):
+        """Whether the store is down or has recovered only a moment ago."""
+        if self.unavailable or self.failing_since is not NOTHING:
             return True
-        if self.back_at is NOTHING:
+        if self.recovered_at is NOTHING:
             return False
-        return self.clock.seconds() - self.back_at < RETURN_SECONDS
+        return self.clock.seconds() - self.recovered_at < RECOVERY_SECONDS
 
 
-class Follower:
+class PrefixWatcher:
     """Keep a `Mirror` of one prefix current.
 
     Args:
         store: The client of the store.
         prefix: The prefix.
         mirror: The `Mirror`.
-        contact: The `Contact`.
+        contact: The `StoreContact`.
         clock: The runtime's clock.
         rng: Random number generator.
-        changed: Called with the `Changes` that a watch has brought, and
-            whether the store had been away, before the mirror has them.
-        asking: Called with the prefix before a listing; returns what is
-            to be called when the mirror has it.
-        starting: Called for whether this host has just started.
+        on_changes: Called with the prefix, the `Changes` from a watch and
+            whether the store was down, before the mirror applies them.
+        before_listing: Called with the prefix before a listing; returns a
+            callable to call once the mirror reflects it.
+        is_starting: Called to find out whether this host has just started.
     """
 
     def __init__(
@@ -301,9 +312,9 @@
         contact,
         clock,
         rng,
-        changed,
-        asking,
-        starting,
+        on_changes,
+        before_listing,
+        is_starting,
     ):
         self.store = store
         self.prefix = prefix
@@ -311,165 +322,178 @@
         self.contact = contact
         self.clock = clock
         self.rng = rng
-        self.changed = changed
-        self.asking = asking
-        self.starting = starting
-        self.after = NOTHING
-        self.heard_at = NOTHING
-        self.waiting = NOTHING
-        self.waiting_since = NOTHING
-        self.overtaken_at = NOTHING
-        self.renewing = False
-        self.pause = FIRST_PAUSE
+        self.on_changes = on_changes
+        self.before_listing = before_listing
+        self.is_starting = is_starting
+        self.after_revision = NOTHING
+        self.last_reply_at = NOTHING
+        self.pending_watch = NOTHING
+        self.watch_started_at = NOTHING
+        self.behind_since = NOTHING
+        self.restarting = False
+        self.retry_delay = MIN_RETRY_SECONDS
         self.running = True
         self.work = NOTHING
 
     def start(self):
-        """Begin to follow; return a deferred that fires on a stop."""
+        """Start watching; return a deferred that fires when it stops."""
         self.work = defer.ensureDeferred(self.run())
         return self.work
 
     def stop(self):
-        """End following."""
+        """Stop watching."""
         self.running = False
         if self.work is not NOTHING:
             self.work.addErrback(lambda _: None)
             self.work.cancel()
 
     async def run(self):
-        """List, then watch, and begin anew when history is lost.
+        """List, then watch, and list again when the history is lost.
 
-        An error that nobody expected is written to the log and must not
-        end it: this host would never hear of a change again.
+        An unexpected error is logged and must not end the loop: this host
+        would never receive a change again.
         """
         while self.running:
             try:
                 await self.step()
-                self.pause = FIRST_PAUSE
+                self.retry_delay = MIN_RETRY_SECONDS
             except HistoryLostError:
-                self.contact.heard()
-                self.after = NOTHING
+                self.contact.record_reply()
+                self.after_revision = NOTHING
             except (KeyValueError, defer.CancelledError) as problem:
-                self.after = NOTHING
+                self.after_revision = NOTHING
                 if not self.running:
                     return
-                if self.renewing:
-                    self.renewing = False
+                if self.restarting:
+                    self.restarting = False
                     continue
-                self.contact.failed(problem)
-                await self.wait()
-            except Exception:  # noqa: BLE001 - written to the log
+                self.contact.record_failure(problem)
+                await self.back_off()
+            except Exception:  # noqa: BLE001 - all are logged
                 self.contact.timeline.note(
                     EventKind.UNEXPECTED, error=Failure().getTraceback()
                 )
-                self.after = NOTHING
-                await self.wait()
+                self.after_revision = NOTHING
+                await self.back_off()
 
     async def step(self):
-        """Make one call and take over its answer.
+        """Make one call and apply its answer.
 
-        A watch that ends without an event is followed by a listing. While
-        the store drops its history, watches hear nothing of changes that
-        are made; one that goes on from the revision before waits, although
-        it has missed them, until the next change. Requests would be
-        handled by an old configuration, and go to servers that leave.
+        A watch that ends without an event is followed by a listing. While the
+        store drops its history, watches do not receive the changes made in
+        the meantime, and a watch that resumes from the previous revision waits
+        until the next change although it has missed some. Requests would then
+        be handled with an old configuration, or go to draining servers.
         """
-        if self.after is NOTHING:
-            outage = self.contact.returning
-            listed = self.asking(self.prefix)
+        if self.after_revision is NOTHING:
+            outage = self.contact.recovering
+            listed = self.before_listing(self.prefix)
             listing = await self.store.list(self.prefix)
-            self.heard()
-            self.take_listing(listing, outage=outage and self.mirror.known)
-            self.after = listing.revision
+            self.record_reply()
+            self.apply_listing(listing, outage=outage and self.mirror.loaded)
+            self.after_revision = listing.revision
             listed()
             return
         changes = await self.watch()
-        outage = self.contact.returning
-        self.heard()
+        outage = self.contact.recovering
+        self.record_reply()
         if not changes.entries and not changes.removals:
-            if changes.revision > self.after:
-                self.after = NOTHING
+            if changes.revision > self.after_revision:
+                self.after_revision = NOTHING
             return
-        self.changed(self.prefix, changes, outage)
-        self.mirror.apply(changes, outage=outage, origin=Origin(Way.WATCH))
-        self.after = max(self.after, changes.revision)
-        pause = STARTING_PAUSE if self.starting() else WATCH_PAUSE
+        self.on_changes(self.prefix, changes, outage)
+        self.mirror.apply(changes, outage=outage, origin=Origin(Channel.WATCH))
+        self.after_revision = max(self.after_revision, changes.revision)
+        pause = (
+            STARTING_PAUSE_SECONDS
+            if self.is_starting()
+            else WATCH_PAUSE_SECONDS
+        )
         await task.deferLater(self.clock, pause)
 
     async def watch(self):
         """Wait for changes."""
-        self.waiting_since = self.clock.seconds()
-        self.waiting = defer.ensureDeferred(
-            self.store.watch(self.prefix, self.after, WATCH_SECONDS)
+        self.watch_started_at = self.clock.seconds()
+        self.pending_watch = defer.ensureDeferred(
+            self.store.watch(
+                self.prefix, self.after_revision, WATCH_WAIT_SECONDS
+            )
         )
         try:
-            return await self.waiting
+            return await self.pending_watch
         finally:
-            self.waiting = NOTHING
+            self.pending_watch = NOTHING
 
-    def take_listing(self, listing, *, outage):
-        """Take over a listing, and pass on what was not known."""
-        if self.mirror.known:
+    def apply_listing(self, listing, *, outage):
+        """Apply a listing, and pass on the changes that it contains."""
+        if self.mirror.loaded:
             changes = self.mirror.difference(listing)
             if changes.entries or changes.removals:
-                self.changed(self.prefix, changes, outage)
+                self.on_changes(self.prefix, changes, outage)
         self.mirror.replace(
             listing.entries,
             listing.revision,
             outage=outage,
-            origin=Origin(Way.LISTING),
+            origin=Origin(Channel.LISTING),
         )
 
-    def take_probe(self, changes):
-        """Take over what a probe has found beside the watch."""
-        self.heard()
+    def apply_probe(self, changes):
+        """Apply changes that a probe has found in addition to the watch."""
+        self.record_reply()
         if not changes.entries and not changes.removals:
             return
-        outage = self.contact.returning
-        self.changed(self.prefix, changes, outage)
-        self.mirror.apply(changes, outage=outage, origin=Origin(Way.PROBE))
+        outage = self.contact.recovering
+        self.on_changes(self.prefix, changes, outage)
+        self.mirror.apply(changes, outage=outage, origin=Origin(Channel.PROBE))
 
-    def note_listing(self, prefix):
-        """Note that the mirror was confirmed beside the watch."""
-        if prefix == self.prefix and self.heard_at is not NOTHING:
-            self.heard_at = self.clock.seconds()
+    def record_listing(self, prefix):
+        """Record that a listing outside the watch has confirmed the mirror."""
+        if prefix == self.prefix and self.last_reply_at is not NOTHING:
+            self.last_reply_at = self.clock.seconds()
 
     def check(self):
-        """Begin anew if the watch lacks what the mirror has."""
+        """Restart the watch if it lacks changes that the mirror has."""
         now = self.clock.seconds()
-        if self.waiting is NOTHING or self.mirror.latest <= self.after:
-            self.overtaken_at = NOTHING
-        elif self.overtaken_at is NOTHING:
-            self.overtaken_at = now
-        elif now - self.overtaken_at >= OVERTAKEN_FOR:
-            self.renew("overtaken")
-
-    def renew(self, why):
-        """Begin anew with a listing, as the watch that waits may be dead.
+        if (
+            self.pending_watch is NOTHING
+            or self.mirror.newest_change_revision <= self.after_revision
+        ):
+            self.behind_since = NOTHING
+        elif self.behind_since is NOTHING:
+            self.behind_since = now
+        elif now - self.behind_since >= WATCH_LAG_SECONDS:
+            self.restart("overtaken")
+
+    def restart(self, why):
+        """Restart with a listing, as the pending watch may be dead.
 
         Args:
-            why: What speaks against it, for the time line.
+            why: The evidence against the watch, for the event log.
         """
-        if self.waiting is NOTHING or self.renewing:
+        if self.pending_watch is NOTHING or self.restarting:
             return
         self.contact.timeline.note(
             EventKind.WATCH_RENEWED,
             prefix=self.prefix,
             why=why,
-            waited=round(self.clock.seconds() - self.waiting_since, 1),
+            waited=round(self.clock.seconds() - self.watch_started_at, 1),
+        )
+        self.behind_since = NOTHING
+        self.restarting = True
+        self.pending_watch.cancel()
+
+    def record_reply(self):
+        """Record an answer to a listing, a watch or a probe."""
+        self.last_reply_at = self.clock.seconds()
+        self.contact.record_reply()
+
+    def back_off(self):
+        """Wait for the next attempt, with exponential backoff and jitter."""
+        pause = self.retry_delay * (0.5 + self.rng.random())
+        longest = (
+            MAX_RETRY_SECONDS
+            if self.mirror.loaded
+            else MAX_INITIAL_RETRY_SECONDS
         )
-        self.overtaken_at = NOTHING
-        self.renewing = True
-        self.waiting.cancel()
-
-    def heard(self):
-        """Note an answer to a listing, a watch or a probe."""
-        self.heard_at = self.clock.seconds()
-        self.contact.heard()
-
-    def wait(self):
-        """Wait before the next try, longer each time, never in step."""
-        pause = self.pause * (0.5 + self.rng.random())
-        longest = LONGEST_PAUSE if self.mirror.known else UNKNOWING_PAUSE
-        self.pause = min(longest, self.pause * 2)
+        self.retry_delay = min(longest, self.retry_delay * 2)
         return task.deferLater(self.clock, pause)
