--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -1,4 +1,4 @@
-"""What backend servers say of themselves in their answers."""
+"""Limits, pauses and leaving notices in the responses of backend servers."""
 
 from ..core.events import EventKind
 from ..core.sentinels import INVALID, NOTHING
@@ -6,45 +6,47 @@
 from ..traffic.serverlimits import UNLIMITED, LimitNotice
 from ..traffic.servers import LeavingNotice
 from .digests import DigestComparison, millis
-from .messages import LeavingRow, LimitRow, NoticeRows
+from .messages import LeavingRow, LimitRow, ServerNoticesMessage
 
-__all__ = ["Notices", "notice_details"]
+__all__ = ["ServerNotices", "notice_details"]
 
-IGNORED_EVERY = 10.0
-"""Seconds between two lines on unusable statements of one server."""
+IGNORED_LOG_INTERVAL_SECONDS = 10.0
+"""Seconds between two log lines about invalid notices of one server."""
 
-TELL_ALL_EVERY = 0.5
-"""Seconds between two messages to all hosts of the region on one server. A
-server may name another limit in each answer; who places hears of each."""
+BROADCAST_INTERVAL_SECONDS = 0.5
+"""Seconds between two broadcasts about one server to all hosts of the
+region. A server may give a different limit in each response; the placing hosts
+receive every change."""
 
-PLACING_HOSTS = 2
-"""Hosts of the region that hear of each change at once: the one that
-places, and the one that would take over."""
+PLACING_HOST_COUNT = 2
+"""Hosts of the region that receive each change at once: the one that places
+and the one that would take over."""
 
-ROWS_AT_ONCE = 100
-"""Servers in one datagram, about 10 KB of them."""
+MAX_ROWS_PER_DATAGRAM = 100
+"""Rows of servers in one datagram, which is then about 10 KB long."""
 
-NO_LIMIT_TOLD = -1.0
-"""Limit in a row that says that a limit has ended."""
+NO_LIMIT_ROW_VALUE = -1.0
+"""Value of the limit in a row that reports the end of a limit."""
 
 
-class Notices:
-    """Take what servers say, and tell the hosts of the region.
+class ServerNotices:
+    """Apply the notices of servers and share them within the region.
 
-    A server takes requests from its own region only, so nobody else needs
-    to know. Heartbeats bear a digest, as with requests under which servers
-    end; who missed something, or has just started, is told all.
+    A server accepts requests from its own region only, so hosts elsewhere do
+    not need its notices. Heartbeats carry a digest of the known notices, as
+    they do for requests that crash servers; a host that missed a message, or
+    has just started, receives all of them.
 
     Args:
         limits: The `ServerLimits`.
-        rests: The `Rests`.
+        rests: The `RetryAfterPauses`.
         registry: The `Registry`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         connections: The `Connections`.
-        clock: The runtime's clock.
+        clock: The clock of the reactor.
         timeline: The `Timeline`.
-        spread: Called with a message for all hosts of the region.
+        broadcast: Called with a message to send to all hosts of the region.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         connections,
         clock,
         timeline,
-        spread,
+        broadcast,
     ):
         self.limits = limits
         self.rests = rests
@@ -67,48 +69,49 @@
         self.connections = connections
         self.clock = clock
         self.timeline = timeline
-        self.spread = spread
+        self.broadcast = broadcast
         self.comparison = DigestComparison(clock)
-        self.ignored = {}
-        self.told_all = {}
+        self.ignored_at = {}
+        self.broadcast_at = {}
 
     @property
     def digest(self):
-        """Digest of what servers are known to say."""
-        return self.limits.digest ^ self.registry.left_digest
+        """Digest of the notices that this host has received."""
+        return self.limits.digest ^ self.registry.leaving_digest
 
-    def listener(self, server_id, request):
-        """Return what takes the `Head` of an answer to a request.
+    def head_handler(self, server_id, request):
+        """Return a callable that takes the `ResponseHead` of a response.
 
-        An answer of a start of the server that is over by then is dropped.
+        The head is ignored if the server has restarted since the request
+        was sent.
 
         Args:
-            server_id: The server that the request is sent to.
+            server_id: Identifier of the server that gets the request.
             request: Identifier of the request.
         """
-        start = self.registry.start_of(server_id)
+        start = self.registry.current_instance(server_id)
 
-        def hear(head):
-            if self.registry.start_of(server_id) == start:
-                self.hear(server_id, start, request, head)
+        def pass_head(head):
+            if self.registry.current_instance(server_id) == start:
+                self.handle_head(server_id, start, request, head)
 
-        return hear
+        return pass_head
 
-    def hear(self, server_id, start, request, head):
-        """Take what the answer to a request says."""
+    def handle_head(self, server_id, start, request, head):
+        """Apply the notices in the head of a response."""
         if head.leaving and server_id in self.registry.servers:
-            self.hear_leaving(server_id, start, request, head)
-        if head.turned_away:
-            self.hear_rest(server_id, request, head.retry_after)
-        self.hear_limit(server_id, start, request, head)
+            self.handle_leaving(server_id, start, request, head)
+        if head.rejected:
+            self.handle_pause(server_id, request, head.retry_after)
+        self.handle_limit(server_id, start, request, head)
 
-    def hear_rest(self, server_id, request, seconds):
-        """Leave a server alone for as long as it asks for."""
+    def handle_pause(self, server_id, request, seconds):
+        """Pause requests to a server for the Retry-After that it sent."""
         if seconds is INVALID:
-            self.ignore(server_id, request, "rest")
+            self.log_ignored(server_id, request, "rest")
             return
         now = self.clock.seconds()
-        if seconds and self.rests.note(server_id, request, seconds, now):
+        if seconds and self.rests.record(server_id, request, seconds, now):
             self.timeline.note(
                 EventKind.SERVER_RESTING,
                 server=server_id,
@@ -116,27 +119,27 @@
                 answer_to=request,
             )
 
-    def hear_leaving(self, server_id, start, request, head):
-        """Use a server no more that says that it leaves."""
+    def handle_leaving(self, server_id, start, request, head):
+        """Stop using a server that announces that it is leaving."""
         if head.leaving is INVALID:
-            self.ignore(server_id, request, "leaving")
+            self.log_ignored(server_id, request, "leaving")
             return
         now = self.clock.seconds()
         notice = LeavingNotice(
             server_id=server_id,
-            start=start,
+            instance_id=start,
             address=self.registry.servers[server_id].entry.address,
             at=now,
             host=self.members.own.name,
             request=request,
         )
-        if self.registry.note_leaving(notice, now):
+        if self.registry.record_leaving(notice, now):
             self.note_leaving(notice, now)
-            self.spread(self.message([], [notice], now))
+            self.broadcast(self.message([], [notice], now))
 
     def note_leaving(self, notice, now):
-        """Put a server that leaves on the time line; drop its connections."""
-        self.connections.forget(notice.server_id)
+        """Log that a server is leaving and drop its connections."""
+        self.connections.close_idle(notice.server_id)
         self.timeline.note(
             EventKind.SERVER_LEAVING,
             server=notice.server_id,
@@ -145,30 +148,31 @@
             age=round(now - notice.at, 3),
         )
 
-    def hear_limit(self, server_id, start, request, head):
-        """Take the limit that an answer names, or its end."""
+    def handle_limit(self, server_id, start, request, head):
+        """Apply the limit in a response, or the end of a known limit."""
         if head.limit is INVALID:
-            self.ignore(server_id, request, "limit")
+            self.log_ignored(server_id, request, "limit")
             return
-        unknown = server_id not in self.limits.named
-        # A server that is full may refuse without a word on limits.
+        unknown = server_id not in self.limits.by_server
+        # A server that is full may reject a request without the limit header,
+        # which does not mean that its limit has ended.
         if head.limit is NOTHING and (head.not_run or unknown):
             return
         now = self.clock.seconds()
         notice = LimitNotice(
             server_id=server_id,
-            start=start,
+            instance_id=start,
             limit=UNLIMITED if head.limit is NOTHING else head.limit,
             at=now,
             host=self.members.own.name,
             request=request,
         )
-        if self.limits.hear(notice, now):
+        if self.limits.apply_notice(notice, now):
             self.note_limit(notice, now)
-            self.tell(notice, now)
+            self.announce(notice, now)
 
     def note_limit(self, notice, now):
-        """Put a limit that is new to this host on the time line."""
+        """Log a limit that is new to this host."""
         ended = notice.limit == UNLIMITED
         self.timeline.note(
             EventKind.SERVER_LIMITED,
@@ -179,12 +183,15 @@
             age=round(now - notice.at, 3),
         )
 
-    def ignore(self, server_id, request, what):
-        """Put an unusable statement on the time line, now and then."""
+    def log_ignored(self, server_id, request, what):
+        """Log an invalid notice, at a bounded rate for each server."""
         now = self.clock.seconds()
-        if now - self.ignored.get(server_id, -IGNORED_EVERY) < IGNORED_EVERY:
+        if (
+            now - self.ignored_at.get(server_id, -IGNORED_LOG_INTERVAL_SECONDS)
+            < IGNORED_LOG_INTERVAL_SECONDS
+        ):
             return
-        self.ignored[server_id] = now
+        self.ignored_at[server_id] = now
         self.timeline.note(
             EventKind.NOTICE_IGNORED,
             server=server_id,
@@ -192,74 +199,79 @@
             answer_to=request,
         )
 
-    def tell(self, notice, now):
-        """Tell the hosts of the region of a limit heard here."""
+    def announce(self, notice, now):
+        """Send a limit that this host received to hosts of the region."""
         message = self.message([notice], [], now)
-        told = self.told_all.get(notice.server_id, -TELL_ALL_EVERY)
-        if now - told >= TELL_ALL_EVERY:
-            self.told_all[notice.server_id] = now
-            self.spread(message)
+        last_broadcast = self.broadcast_at.get(
+            notice.server_id, -BROADCAST_INTERVAL_SECONDS
+        )
+        if now - last_broadcast >= BROADCAST_INTERVAL_SECONDS:
+            self.broadcast_at[notice.server_id] = now
+            self.broadcast(message)
             return
         own = self.members.own
-        first = self.members.placers(now)[:PLACING_HOSTS]
+        first = self.members.placers(now)[:PLACING_HOST_COUNT]
         self.datagrams.send_all(
             message, [one for one in first if one is not own]
         )
 
     def message(self, limits, leaving, now):
-        """Return the message on some notices.
+        """Return the message that carries some notices.
 
         Args:
-            limits: Each `LimitNotice`.
-            leaving: Each `LeavingNotice`.
-            now: The time.
+            limits: List of `LimitNotice`.
+            leaving: List of `LeavingNotice`.
+            now: Current time of the clock.
         """
-        return NoticeRows(
+        return ServerNoticesMessage(
             self.members.own.name,
-            [limit_row(one, now) for one in limits[:ROWS_AT_ONCE]],
-            [leaving_row(one, now) for one in leaving[:ROWS_AT_ONCE]],
+            [limit_row(one, now) for one in limits[:MAX_ROWS_PER_DATAGRAM]],
+            [leaving_row(one, now) for one in leaving[:MAX_ROWS_PER_DATAGRAM]],
         )
 
-    def take(self, message):
-        """Take over what another host tells."""
+    def merge(self, message):
+        """Merge the notices that another host sent."""
         now = self.clock.seconds()
-        for row in filter(self.concerns, message.limits):
-            notice = limit_of(row, now)
-            if self.limits.hear(notice, now):
+        for row in filter(self.is_applicable, message.limits):
+            notice = limit_from_row(row, now)
+            if self.limits.apply_notice(notice, now):
                 self.note_limit(notice, now)
         for row in message.leaving:
-            notice = leaving_of(row, now)
-            if self.registry.note_leaving(notice, now):
+            notice = leaving_from_row(row, now)
+            if self.registry.record_leaving(notice, now):
                 self.note_leaving(notice, now)
 
-    def concerns(self, row):
-        """Whether a row is on a start of a server that may be used here.
+    def is_applicable(self, row):
+        """Return whether a row concerns a start of a server usable here.
 
-        Word of a server may come before its entry does.
+        A notice may arrive before the registry entry of its server, so rows
+        of unknown servers apply as well.
         """
         unknown = row.server_id not in self.registry.servers
-        return unknown or self.registry.is_known(row.server_id, row.start)
+        return unknown or self.registry.is_current_instance(
+            row.server_id, row.start
+        )
 
     def compare(self, member, digest):
-        """Tell a host of the region all if it knows something else."""
+        """Send all notices to a host of the region if its digest differs."""
         if member.region != self.members.own.region:
             return
-        if not self.comparison.must_tell(member.name, self.digest, digest):
+        if not self.comparison.must_send(member.name, self.digest, digest):
             return
         limits = self.limits.notices()
-        leaving = list(self.registry.left.values())
+        leaving = list(self.registry.leaving_notices.values())
         if limits or leaving:
             now = self.clock.seconds()
             message = self.message(limits, leaving, now)
             self.datagrams.send(message, member.control)
 
     def tick(self):
-        """Forget what concerns servers that are gone."""
+        """Delete the state of servers that are gone."""
         now = self.clock.seconds()
-        self.registry.forget_left(now)
+        self.registry.expire_leaving_notices(now)
         self.limits.expire(now)
         known = self.registry.servers
-        for table in (self.ignored, self.told_all):
+        for table in (self.ignored_at, self.broadcast_at):
             for server_id in [one for one in table if one not in known]:
                 del table[server_id]
         self.limits.forget_unknown(known, now)
@@ -270,8 +282,8 @@
     ended = notice.limit == UNLIMITED
     return LimitRow(
         notice.server_id,
-        notice.start,
-        NO_LIMIT_TOLD if ended else notice.limit,
+        notice.instance_id,
+        NO_LIMIT_ROW_VALUE if ended else notice.limit,
         millis(now - notice.at),
         notice.host,
         notice.request,
@@ -282,7 +294,7 @@
     """Return the `LeavingRow` of a `LeavingNotice`, with its age."""
     return LeavingRow(
         notice.server_id,
-        notice.start,
+        notice.instance_id,
         notice.address,
         millis(now - notice.at),
         notice.host,
@@ -290,11 +302,11 @@
     )
 
 
-def leaving_of(row, now):
-    """Return the `LeavingNotice` of a row, in times of this host."""
+def leaving_from_row(row, now):
+    """Return the `LeavingNotice` of a row, timed by the local clock."""
     return LeavingNotice(
         server_id=row.server_id,
-        start=row.start,
+        instance_id=row.start,
         address=row.address,
         at=now - row.age_ms / 1000,
         host=row.host,
@@ -302,11 +314,11 @@
     )
 
 
-def limit_of(row, now):
-    """Return the `LimitNotice` of a row, in times of this host."""
+def limit_from_row(row, now):
+    """Return the `LimitNotice` of a row, timed by the local clock."""
     return LimitNotice(
         server_id=row.server_id,
-        start=row.start,
+        instance_id=row.start,
         limit=UNLIMITED if row.limit < 0 else row.limit,
         at=now - row.age_ms / 1000,
         host=row.host,
@@ -315,7 +327,7 @@
 
 
 def notice_details(decision):
-    """Return what a line tells of the notices that bore on a decision.
+    """Return the log fields for the notices that affected a decision.
 
     Args:
         decision: A `Placed` or `Refused`.
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -19,59 +19,67 @@
 from ..platform.pages import DirectoryPages
 from ..platform.settings import PATH_VARIABLE, read_settings
 from ..platform.store import PlatformStore
-from ..traffic.crashes import Crashes
-from ..traffic.mechanisms import parse_off
+from ..traffic.crashes import CrashTracker
+from ..traffic.mechanisms import parse_disabled
 from ..traffic.members import Member, Members
 from ..traffic.placing import Placer
-from ..traffic.rests import Rests
-from ..traffic.retries import RetryWindow
+from ..traffic.retries import WindowedRetryBudget
+from ..traffic.retryafter import RetryAfterPauses
 from ..traffic.routes import ConfigurationKeeper, RequestLimits, Service
 from ..traffic.serverlimits import ServerLimits
 from ..traffic.servers import Registry
-from .asking import Asking
-from .callers import FINISH_MARGIN, SERVE_ON, CallerApi
+from .callers import DRAIN_ACCEPT_SECONDS, STOP_MARGIN_SECONDS, CallerApi
 from .connections import Connections
+from .coordinator import PlacementCoordinator
+from .crashdetection import CrashDetector
 from .crashsharing import CrashSharing
 from .crashstore import CrashStore
-from .datagrams import LONGEST, Datagrams
-from .endings import Endings
-from .farhosts import FarHosts
-from .following import Following
-from .limiting import TRANSFERS_EVERY, Limiting, Standing
-from .lines import LineWriter
-from .measures import Measures
-from .membership import HEARTBEAT_EVERY, SUMMARY_EVERY, Membership
-from .mirrors import Contact
-from .notices import Notices
+from .datagrams import MAX_DATAGRAM_BYTES, DatagramEndpoint
+from .limiting import (
+    TRANSFER_INTERVAL_SECONDS,
+    PlacementShare,
+    WorkspaceLimiter,
+)
+from .logwriter import LogWriter
+from .membership import (
+    HEARTBEAT_INTERVAL_SECONDS,
+    LOAD_REPORT_INTERVAL_SECONDS,
+    Membership,
+)
+from .mirrors import StoreContact
+from .notices import ServerNotices
+from .prometheus import PrometheusMetrics
 from .provenance import Provenance
 from .relaying import RelayApi
+from .remotehosts import RemoteHosts
 from .state import EntryState
-from .views import ConfirmedView, ViewChecking
+from .storesync import StoreSync
+from .views import ConfirmedView, ViewVerifier
 from .web import WebFactory
 
 __all__ = ["EntryProcess", "main"]
 
-CHECK_EVERY = 0.1
-"""Seconds between looks at requests in progress; a request is answered
-at most this much after its time."""
+CHECK_INTERVAL_SECONDS = 0.1
+"""Interval between checks of the requests in progress; a request is answered
+at most this long after its deadline."""
 
-FLUSH_EVERY = 0.25
-"""Seconds between writes of log lines."""
+LOG_FLUSH_INTERVAL_SECONDS = 0.25
+"""Interval between writes of log lines."""
 
 PEER_IDLE_SECONDS = 30.0
-"""Seconds for which a connection of another host may idle; the other side
-stops using it much sooner."""
+"""Idle timeout of connections from other hosts. The other side stops using an
+idle connection much sooner."""
 
-SEND_OUT = 0.25
-"""Seconds between the end of the last request and the end of the process.
-The end of an answer is still in the buffer of its connection then; a
-process that ended at once would cut an answer that was whole."""
+SOCKET_FLUSH_SECONDS = 0.25
+"""Delay between the end of the last request and the end of the process. The
+end of a response is still in the buffer of its connection then; a process that
+exited at once would truncate a complete response."""
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 
 
 class EntryProcess:
-    """All parts of one entry process, wired.
+    """An entry process with all of its parts connected.
 
     Args:
         settings: The `EntrySettings`.
@@ -81,7 +89,7 @@
             counts while the host is suspended.
         rng: Random number generator.
         write: Called with bytes of log lines.
-        metrics_port: Port of the metrics, or 0 for none.
+        metrics_port: Port of the metrics page, or 0 for none.
     """
 
     def __init__(
@@ -99,49 +107,49 @@
         self.reactor = reactor
         self.rng = rng
         self.wall = wall
-        self.began = reactor.seconds()
-        self.lines = LineWriter(reactor, write)
-        self.measures = Measures(self.gauges)
+        self.started_at = reactor.seconds()
+        self.log_writer = LogWriter(reactor, write)
+        self.metrics = PrometheusMetrics(self.gauges)
         self.timeline = Timeline(
             settings.host,
             HybridClock(wall),
-            listeners=[self.lines, self.measures],
+            listeners=[self.log_writer, self.metrics],
         )
         self.metrics_port = metrics_port
         self.ports = []
         self.factories = []
         self.loops = []
-        self.make_traffic(boot_clock, wall)
-        self.make_services()
+        self.build_state(boot_clock, wall)
+        self.build_services()
 
-    def make_traffic(self, boot_clock, wall):
-        """Make what decides, and the state that all parts share."""
+    def build_state(self, boot_clock, wall):
+        """Build the decision logic and the state that all parts share."""
         settings = self.settings
         self.keeper = ConfigurationKeeper()
         self.registry = Registry(settings.regions)
-        self.crashes = Crashes()
+        self.crashes = CrashTracker()
         self.members = Members(own_member(settings, int(wall() * 1000)))
-        standing = Standing(self.members, self.reactor)
-        self.rests = Rests(self.registry, self.rng)
-        self.server_limits = ServerLimits(standing.weight, self.rng)
+        placement_share = PlacementShare(self.members, self.reactor)
+        self.rests = RetryAfterPauses(self.registry, self.rng)
+        self.server_limits = ServerLimits(placement_share.share, self.rng)
         self.placer = Placer(
             settings.region,
             self.registry,
             self.service,
-            self.cold_bound,
+            self.cold_rate_limit,
             self.rng,
             self.members.regions,
             limits=self.server_limits,
-            started_at=self.began,
-            off=settings.off,
+            started_at=self.started_at,
+            disabled=settings.disabled_mechanisms,
         )
-        self.datagrams = Datagrams(
-            lambda message, ip: self.guarded(
+        self.datagrams = DatagramEndpoint(
+            lambda message, ip: self.run_guarded(
                 lambda: self.membership.receive(message, ip)
             ),
             lambda why: self.timeline.note(EventKind.PEER_REFUSED, why=why),
         )
-        self.limiting = Limiting(
+        self.limiter = WorkspaceLimiter(
             TokenLimits(
                 len(set(settings.regions.values())),
                 Allowance(
@@ -149,7 +157,7 @@
                     settings.limit_slack,
                     settings.limit_window,
                 ),
-                standing.weight,
+                placement_share.share,
             ),
             self.keeper,
             self.members,
@@ -157,10 +165,10 @@
             boot_clock,
             self.reactor,
             self.rng,
-            standing,
-            lambda: self.membership.far_contacts,
+            placement_share,
+            lambda: self.membership.remote_contacts,
         )
-        self.asking = Asking(
+        self.coordinator = PlacementCoordinator(
             self.members,
             self.placer,
             self.registry,
@@ -168,9 +176,9 @@
             self.reactor,
             boot_clock,
             self.timeline,
-            self.limiting,
+            self.limiter,
             self.rests,
-            self.guarded,
+            self.run_guarded,
         )
         connections = Connections(self.reactor, settings.address)
         view = ConfirmedView(
@@ -182,7 +190,7 @@
             self.datagrams,
             self.reactor,
             self.timeline,
-            lambda: self.membership.far_hosts_to_tell(),
+            lambda: self.membership.remote_hosts_to_notify(),
             lambda suspect: self.crash_store.save(suspect),
         )
         self.state = EntryState(
@@ -193,20 +201,20 @@
             keeper=self.keeper,
             registry=self.registry,
             members=self.members,
-            asking=self.asking,
+            coordinator=self.coordinator,
             connections=connections,
-            far_hosts=FarHosts(
+            remote_hosts=RemoteHosts(
                 self.members, connections, self.reactor, self.rng
             ),
-            contact=Contact(self.reactor, self.timeline),
+            contact=StoreContact(self.reactor, self.timeline),
             view=view,
             provenance=Provenance(self.keeper, view, self.reactor),
-            retries=RetryWindow(
+            retries=WindowedRetryBudget(
                 settings.retry_ratio,
                 settings.retry_extra,
                 settings.retry_window,
             ),
-            endings=Endings(
+            crash_detector=CrashDetector(
                 connections,
                 self.registry,
                 self.reactor,
@@ -214,7 +222,7 @@
                 sharing,
             ),
             sharing=sharing,
-            notices=Notices(
+            notices=ServerNotices(
                 self.server_limits,
                 self.rests,
                 self.registry,
@@ -223,27 +231,29 @@
                 connections,
                 self.reactor,
                 self.timeline,
-                lambda message: self.membership.spread(message),
+                lambda message: self.membership.broadcast_in_region(message),
             ),
             codec=headers,
         )
 
-    def make_services(self):
-        """Make what talks to the store, to hosts and to callers."""
+    def build_services(self):
+        """Build the parts that communicate with store, hosts and callers."""
         store = PlatformStore(
             self.settings.store,
             self.state.connections,
             self.reactor,
-            lambda sent_at: self.following.store_silent(sent_at),
+            lambda sent_at: self.store_sync.restart_older_watches(sent_at),
         )
-        self.following = Following(
+        self.store_sync = StoreSync(
             self.state,
             store,
             layout,
-            applied=self.configured,
-            found_hosts=lambda: self.membership.beat(),
-            spread=lambda message: self.membership.spread(message),
-            found_crash=lambda entry: self.crash_store.load(entry),
+            on_applied=self.on_configuration_applied,
+            on_hosts_read=lambda: self.membership.send_heartbeats(),
+            broadcast=lambda message: self.membership.broadcast_in_region(
+                message
+            ),
+            on_crash_found=lambda entry: self.crash_store.load(entry),
         )
         self.crash_store = CrashStore(
             store,
@@ -251,33 +261,33 @@
             self.reactor,
             self.wall,
             self.timeline,
-            self.following.spawn,
+            self.store_sync.spawn,
         )
-        self.views = ViewChecking(
+        self.views = ViewVerifier(
             self.state.view,
             self.keeper,
             self.members,
             self.datagrams,
             self.reactor,
             self.timeline,
-            self.following.read_configuration,
-            lambda: self.membership.far_contacts,
+            self.store_sync.read_configuration,
+            lambda: self.membership.remote_contacts,
         )
         self.membership = Membership(
             self.members,
-            self.asking,
+            self.coordinator,
             self.placer,
             self.datagrams,
             self.reactor,
             self.timeline,
-            self.following.copies.neighbour_is_newer,
-            self.following.copies.take_change,
+            self.store_sync.replication.on_peer_ahead,
+            self.store_sync.replication.apply_change,
             self.state.sharing,
             self.state.notices,
             self.views,
         )
         self.callers = CallerApi(self.state, self.views)
-        self.relay = RelayApi(self.state, self.following.copies.snapshot)
+        self.relay = RelayApi(self.state, self.store_sync.replication.snapshot)
         self.pages = DirectoryPages(self.hosts_for, self.is_ready)
 
     def service(self, name):
@@ -286,15 +296,15 @@
             return Service(name=name)
         return self.keeper.current.service(name)
 
-    def cold_bound(self, service):
-        """Return the requests that a cold server stands in a second."""
+    def cold_rate_limit(self, service):
+        """Return the requests per second that a cold server may receive."""
         factor = service.cold_rate * self.settings.cold_factor
         return factor + self.settings.cold_extra
 
-    def configured(self):
-        """Tell the hosts of the region, and serve those that waited."""
-        self.membership.beat()
-        self.callers.starting.release()
+    def on_configuration_applied(self):
+        """Announce the new version, and release requests held at the start."""
+        self.membership.send_heartbeats()
+        self.callers.startup_queue.release()
 
     def limits(self):
         """Return the `RequestLimits` in force."""
@@ -303,7 +313,7 @@
         return self.keeper.current.limits
 
     def start(self):
-        """Listen, and begin all periodic work."""
+        """Open all ports and start the periodic work."""
         settings = self.settings
         own = self.members.own
         self.listen(settings.front, self.callers.handle)
@@ -314,25 +324,30 @@
             self.listen(settings.control, self.relay.handle)
         if self.metrics_port:
             address = f"{settings.address}:{self.metrics_port}"
-            self.listen(address, self.measures.handle)
+            self.listen(address, self.metrics.handle)
         ip, port = split_address(own.control)
         self.ports.append(
             self.reactor.listenUDP(
-                port, self.datagrams, interface=ip, maxPacketSize=LONGEST
+                port,
+                self.datagrams,
+                interface=ip,
+                maxPacketSize=MAX_DATAGRAM_BYTES,
             )
         )
-        self.following.start()
-        self.repeat(HEARTBEAT_EVERY, self.beat)
-        self.repeat(SUMMARY_EVERY, self.membership.summarize)
-        self.repeat(TRANSFERS_EVERY, self.limiting.tick)
-        self.repeat(CHECK_EVERY, self.callers.check)
-        self.repeat(FLUSH_EVERY, self.lines.flush)
+        self.store_sync.start()
+        self.repeat(HEARTBEAT_INTERVAL_SECONDS, self.on_heartbeat_interval)
+        self.repeat(
+            LOAD_REPORT_INTERVAL_SECONDS, self.membership.send_load_report
+        )
+        self.repeat(TRANSFER_INTERVAL_SECONDS, self.limiter.tick)
+        self.repeat(CHECK_INTERVAL_SECONDS, self.callers.check)
+        self.repeat(LOG_FLUSH_INTERVAL_SECONDS, self.log_writer.flush)
         self.timeline.note(
             EventKind.STARTED,
             incarnation=own.incarnation,
             region=settings.region,
             data_centre=settings.data_centre,
-            without=sorted(one.label for one in settings.off),
+            without=sorted(one.label for one in settings.disabled_mechanisms),
         )
 
     def listen(self, address, handle, *, idle=0.0):
@@ -340,82 +355,84 @@
         factory = WebFactory(
             handle,
             self.reactor,
-            idle_seconds=lambda: idle or self.limits().idle_seconds,
-            longest_body=lambda: self.limits().body_bytes,
+            max_idle_seconds=lambda: idle or self.limits().idle_seconds,
+            max_body_bytes=lambda: self.limits().body_bytes,
         )
         ip, port = split_address(address)
         self.factories.append(factory)
         self.ports.append(
             self.reactor.listenTCP(
-                port, factory, backlog=BACKLOG, interface=ip
+                port, factory, backlog=LISTEN_BACKLOG, interface=ip
             )
         )
 
     def repeat(self, interval, work):
-        """Call *work* every *interval* seconds, now first."""
-        loop = task.LoopingCall(self.guarded, work)
+        """Call *work* now and then every *interval* seconds."""
+        loop = task.LoopingCall(self.run_guarded, work)
         loop.clock = self.reactor
         loop.start(interval)
         self.loops.append(loop)
 
-    def guarded(self, work):
-        """Call *work*; a failure of it shows in the log and ends there.
+    def run_guarded(self, work):
+        """Call *work*, and log any exception that it raises.
 
-        It must end neither periodic work nor the receipt of messages.
+        An exception must stop neither periodic work nor the processing of
+        messages.
         """
         try:
             work()
-        except Exception:  # noqa: BLE001 - all are written to the log
+        except Exception:  # noqa: BLE001 - all are logged
             self.timeline.note(
                 EventKind.UNEXPECTED, error=Failure().getTraceback()
             )
 
-    def beat(self):
-        """Do the work of a heartbeat interval."""
-        self.members.own.up_seconds = self.reactor.seconds() - self.began
-        self.following.tick()
+    def on_heartbeat_interval(self):
+        """Do the work of one heartbeat interval."""
+        self.members.own.up_seconds = self.reactor.seconds() - self.started_at
+        self.store_sync.tick()
         self.views.tick()
         self.state.sharing.tick()
         self.state.notices.tick()
         self.crash_store.tick()
-        self.membership.beat()
+        self.membership.send_heartbeats()
 
     def gauges(self):
-        """Return the values of this moment, by name."""
+        """Return the current values of the gauges, by name."""
         now = self.reactor.seconds()
         return {
             "requests_in_progress": len(self.callers.exchanges),
             "relayed_in_progress": len(self.relay.relayed),
-            "questions_left_out_total": self.asking.left_out,
+            "questions_left_out_total": self.coordinator.queries_dropped,
             "requests_suspected": len(self.crashes.suspects),
             "servers_leaving_by_answer": self.registry.leaving_by_answer(),
-            "servers_at_rest": self.rests.at_rest(now),
-            "servers_limited": self.server_limits.in_force(now),
-            "requests_placed": len(self.placer.tickets),
+            "servers_at_rest": self.rests.count_blocked(now),
+            "servers_limited": self.server_limits.count_limited(now),
+            "requests_placed": len(self.placer.placements),
             "hosts_live": len(self.members.live(now)),
             "servers_known": len(self.registry.servers),
             "configuration_version": self.keeper.version,
             "store_contact_age_seconds": round(self.state.contact.age, 1),
             "view_age_seconds": round(min(self.state.view.age, 1e6), 1),
-            "watch_age_seconds": self.following.watch_age,
-            "store_calls_total": self.following.store.calls,
+            "watch_age_seconds": self.store_sync.watch_age,
+            "store_calls_total": self.store_sync.store.calls,
             "connections_opened_total": self.state.connections.opened,
             "connections_unopened_total": self.state.connections.unopened,
             "datagram_bytes_sent_total": self.datagrams.bytes_sent,
-            "log_lines_left_out": self.lines.left_out,
+            "log_lines_left_out": self.log_writer.lines_dropped,
         }
 
     def is_ready(self):
-        """Whether this host takes requests."""
+        """Return whether this host accepts requests."""
         return bool(self.keeper.current) and not self.members.own.leaving
 
     def hosts_for(self, name, region, data_centre):
         """Return the addresses that callers of a region should use.
 
-        A request body must not go to a region that is neither the
-        caller's nor a home of its route. So hosts of the caller's region
-        are named; without one, those of the homes of the name's routes;
-        and then hosts that leave but still serve.
+        A request body must not reach a region that is neither the caller's nor
+        a home region of its route. The result is therefore the hosts of the
+        caller's region; failing these, the hosts of the home regions of the
+        name's routes; failing these, hosts that are shutting down but still
+        serve.
 
         Args:
             name: Host name that the caller wants to reach.
@@ -423,8 +440,8 @@
             data_centre: Its data centre.
         """
         now = self.reactor.seconds()
-        live = self.members.named(now)
-        homes = self.homes_of(name)
+        live = self.members.listed(now)
+        homes = self.home_regions_of(name)
         choices = (
             [one for one in live if one.region == region],
             [one for one in live if one.region in homes],
@@ -436,8 +453,8 @@
                 return [member.front for member in members]
         return []
 
-    def homes_of(self, name):
-        """Return the regions that are a home of all bound routes."""
+    def home_regions_of(self, name):
+        """Return the regions that are a home of all region-bound routes."""
         if not self.keeper.current:
             return frozenset()
         bound = [
@@ -448,11 +465,11 @@
         return frozenset.intersection(*bound) if bound else frozenset()
 
     async def stop(self):
-        """Stop gracefully: no request in progress is cut.
+        """Stop gracefully, without aborting requests in progress.
 
-        At once the host counts as leaving; it goes on serving those who
-        still hold its address, then refuses what is new and ends as soon
-        as nothing is in progress, so that its successor starts early.
+        The host is reported as shutting down at once. It keeps serving
+        callers that still have its address, then refuses new requests and ends
+        as soon as none is in progress, so that its successor can start early.
         """
         if self.members.own.leaving:
             return
@@ -461,35 +478,38 @@
         self.timeline.note(
             EventKind.STOPPING, active=len(self.callers.exchanges)
         )
-        self.membership.beat()
-        self.following.spawn(self.following.leave())
+        self.membership.send_heartbeats()
+        self.store_sync.spawn(self.store_sync.leave())
         for factory in self.factories:
             factory.closing = True
-        await self.sleep(SERVE_ON)
-        end = self.settings.stop_seconds - FINISH_MARGIN
-        while self.state.stopping_for < end and self.busy():
+        await self.sleep(DRAIN_ACCEPT_SECONDS)
+        end = self.settings.stop_seconds - STOP_MARGIN_SECONDS
+        while self.state.stopping_for < end and self.is_busy():
             self.factories[0].close_idle()
-            await self.sleep(CHECK_EVERY)
-        await self.sleep(SEND_OUT)
+            await self.sleep(CHECK_INTERVAL_SECONDS)
+        await self.sleep(SOCKET_FLUSH_SECONDS)
         self.timeline.note(
             EventKind.STOPPED, active=len(self.callers.exchanges)
         )
-        self.lines.flush()
+        self.log_writer.flush()
 
-    def busy(self):
-        """Whether something is in progress, or nobody could take over."""
+    def is_busy(self):
+        """Return whether requests are in progress or no host can take over."""
         if self.callers.exchanges or self.relay.relayed:
             return True
-        if self.callers.starting.waiting or self.callers.doubted.waiting:
+        if (
+            self.callers.startup_queue.waiting
+            or self.callers.unverified_queue.waiting
+        ):
             return True
-        return self.callers.holds_on()
+        return self.callers.must_stay_up()
 
     async def close(self):
         """Close all sockets and end all periodic work."""
         for loop in self.loops:
             if loop.running:
                 loop.stop()
-        self.following.stop()
+        self.store_sync.stop()
         for port in self.ports:
             await port.stopListening()
         for factory in self.factories:
@@ -501,9 +521,9 @@
         return task.deferLater(self.reactor, seconds)
 
     def reload(self):
-        """Note that the settings file has changed.
+        """Log that the settings file has changed.
 
-        All that is read from it is fixed for the life of a process.
+        All settings read from it are fixed for the lifetime of a process.
         """
         self.timeline.note(EventKind.RELOADED)
 
@@ -524,21 +544,21 @@
 
 
 def boot_seconds():
-    """Return the seconds of the clock that counts suspension."""
+    """Return the seconds of a clock that also counts suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def write_standard_output(data):
-    """Write log lines; return the bytes that were taken."""
+    """Write log lines; return the number of bytes written."""
     return os.write(sys.stdout.fileno(), data)
 
 
 def run(settings, metrics_port=0):
-    """Run an entry process until it is told to stop."""
+    """Run an entry process until it receives a stop signal."""
     from twisted.internet import reactor
 
     os.set_blocking(sys.stdout.fileno(), False)
-    # A step of the time of day must not move any timer.
+    # A step of the wall clock must not affect any timer.
     reactor.seconds = time.monotonic
     process = EntryProcess(
         settings,
@@ -573,31 +593,35 @@
     "path",
     default=lambda: os.environ.get(PATH_VARIABLE, ""),
     metavar="FILE",
-    help=f"Settings file of the platform; else ${PATH_VARIABLE}.",
+    help=f"Platform settings file; defaults to ${PATH_VARIABLE}.",
 )
 @click.option(
     "--metrics",
     "metrics_port",
     default=0,
-    help="Port of the metrics page; 0 for none.",
+    help="Port of the metrics page; 0 disables it.",
 )
 @click.option(
     "--without",
     default="",
     metavar="NAME,...",
-    help="Mechanisms of the policy to switch off, to measure their worth.",
+    help="Policy mechanisms to disable, to measure their effect.",
+)
+@click.option(
+    "--check", is_flag=True, help="Check the settings file and exit."
 )
-@click.option("--check", is_flag=True, help="Check the file and stop.")
 @click.version_option(package_name="hyssopspring")
 def main(path, metrics_port, without, check):
     """Run an entry process on the users' platform."""
     try:
-        settings = replace(read_settings(path), off=parse_off(without))
+        settings = replace(
+            read_settings(path), disabled_mechanisms=parse_disabled(without)
+        )
     except SettingsError as problem:
         click.echo(str(problem), err=True)
         sys.exit(EXIT_BAD_SETTINGS)
     if check:
-        click.echo(f"{path}: in order")
+        click.echo(f"{path}: settings are valid")
         return
     run(settings, metrics_port)
 
--- a/src/hyssopspring/entry/provenance.py
+++ b/src/hyssopspring/entry/provenance.py
@@ -1,19 +1,19 @@
-"""Where the configuration in force came from, for log lines."""
+"""The origin of the configuration in force, for log lines."""
 
 import enum
 from dataclasses import dataclass
 
 from ..core.sentinels import NOTHING
 
-__all__ = ["Origin", "Provenance", "Way"]
+__all__ = ["Channel", "Origin", "Provenance"]
 
 STORE = "store"
-OLDEST = 1e6
-"""Age in seconds that stands for "never" on a line."""
+NEVER_AGE_SECONDS = 1e6
+"""Age that represents "never" in a log line."""
 
 
-class Way(enum.Enum):
-    """How a change of the store reached this host."""
+class Channel(enum.Enum):
+    """The channel by which a change of the store reached this host."""
 
     WATCH = "watch"
     LISTING = "listing"
@@ -24,19 +24,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Who told this host of a change, and how.
+    """The host that a change was received from, and the channel.
 
     Attributes:
-        way: The `Way`.
-        host: Name or address of the host that told, or ``store``.
+        channel: The `Channel`.
+        host: Name or address of the sending host, or ``store``.
     """
 
-    way: Way
+    channel: Channel
     host: str = STORE
 
 
 class Provenance:
-    """Tell how the configuration in force came here, and how old it is.
+    """Record the origin and the age of the configuration in force.
 
     Args:
         keeper: The `ConfigurationKeeper`.
@@ -52,8 +52,8 @@
         self.revision = 0
         self.applied_at = NOTHING
 
-    def note_applied(self, origin, revision):
-        """Note that a configuration has come into force.
+    def record_applied(self, origin, revision):
+        """Record that a configuration has come into force.
 
         Args:
             origin: Its `Origin`, or `NOTHING` if unknown.
@@ -64,15 +64,15 @@
         self.applied_at = self.clock.seconds()
 
     def details(self):
-        """Return what lines of a request tell of the configuration."""
+        """Return the fields about the configuration for log lines."""
         if self.applied_at is NOTHING:
             return {"version": 0}
-        origin = self.origin or Origin(Way.LISTING, "")
+        origin = self.origin or Origin(Channel.LISTING, "")
         return {
             "version": self.keeper.version,
             "revision": self.revision,
-            "version_by": origin.way.value,
+            "version_by": origin.channel.value,
             "version_from": origin.host,
             "version_for": round(self.clock.seconds() - self.applied_at, 1),
-            "view_age": round(min(self.view.age, OLDEST), 1),
+            "view_age": round(min(self.view.age, NEVER_AGE_SECONDS), 1),
         }
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -10,48 +10,48 @@
 from ..core.outcomes import Answered, NotRun, Reason, Unknown
 from ..core.sentinels import NOTHING
 from ..net.sinks import AnswerSink, first_value
-from ..traffic.decisions import Ask, Placed
-from ..traffic.evidence import Finding
-from .attempts import Attempt, Head, Sending, silence_limit
-from .connections import Lane
+from ..traffic.decisions import Placed, PlacementQuery
+from ..traffic.serverhealth import AttemptResult
+from .attempts import Attempt, OutgoingRequest, ResponseHead, silence_limit
+from .connections import Endpoint
+from .crashchecks import SUSPECTED_RETRY_SECONDS, CrashCheck
 from .notices import notice_details
-from .suspicion import HELD_RETRY_AFTER, Suspicion
 from .web import respond_refusal
 
-__all__ = ["ORDER_HEADER", "RelayApi", "RelayOrder", "encode_order"]
+__all__ = ["RELAY_HEADER", "RelayApi", "RelayParameters", "encode_parameters"]
 
-ORDER_HEADER = b"hyssop-relay"
+RELAY_HEADER = b"hyssop-relay"
 OUTCOME = b"hyssop-outcome"
 REASON = b"hyssop-reason"
 SERVER = b"hyssop-server"
 RETRY_AFTER = b"retry-after"
-BARRED_RETRY_AFTER = 1.0
-"""Seconds after which a request may come back that this region may not
-serve, or not yet."""
+DENIED_RETRY_SECONDS = 1.0
+"""Retry-After of a request that this region may not serve, or may not serve
+yet."""
 
 ANSWERED = b"answered"
 NOT_RUN = b"not-run"
 
 
-class RelayOrder(msgspec.Struct, array_like=True, frozen=True):
-    """What a forwarded request bears besides the caller's headers.
+class RelayParameters(msgspec.Struct, array_like=True, frozen=True):
+    """Data that a forwarded request carries besides the caller's headers.
 
     Attributes:
-        route: Name of the route, to check its homes here as well.
-        service: Service that it needs.
-        stream: Whether a success is a series of events.
-        repeatable: Whether a kept connection may be used.
-        time_left: Seconds until it is given up.
-        objective_left: Seconds in which it would meet its objective.
-        patience: Seconds in which an answer is of use.
+        route: Name of the route, whose home regions are checked here as well.
+        service: Service that the request needs.
+        stream: Whether a successful response is a stream of events.
+        repeatable: Whether a pooled connection may be used.
+        time_left: Seconds until its deadline.
+        objective_left: Seconds within which it meets its objective.
+        patience: Seconds within which a response is of use.
         priority: Rank among the routes of the service.
-        excluded: Servers that it must not go to.
-        last_event: Event after which a stream goes on.
-        begun: Whether the caller holds a part of the answer already.
+        excluded: Servers to which it must not be sent.
+        last_event: Event after which a stream is resumed.
+        begun: Whether the caller has received a part of the response already.
         caller: IP address of the caller.
-        workspace: Name of its workspace; the caller's key stays where it
-            came in.
-        key_digest: Digest of that key, to know repeats by.
+        workspace: Name of its workspace. The caller's key itself is not
+            forwarded.
+        key_digest: Digest of that key, by which repeats are recognised.
     """
 
     route: str
@@ -70,55 +70,57 @@
     key_digest: str = ""
 
 
-_DECODER = msgspec.json.Decoder(RelayOrder)
+_DECODER = msgspec.json.Decoder(RelayParameters)
 
 
-def encode_order(order):
-    """Return the value of the header that bears *order*."""
-    return msgspec.json.encode(order)
+def encode_parameters(parameters):
+    """Return the value of the header that carries *parameters*."""
+    return msgspec.json.encode(parameters)
 
 
-def decode_order(value):
-    """Return the `RelayOrder` of a header.
+def decode_parameters(value):
+    """Return the `RelayParameters` of a header value.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: The value cannot be decoded.
     """
     try:
         return _DECODER.decode(value)
     except msgspec.DecodeError as problem:
-        raise ProtocolError(f"relay order: {problem}") from None
+        raise ProtocolError(f"invalid relay header: {problem}") from None
 
 
 def read_relay_head(codec, status, headers):
-    """Return the `Head` of a relaying host's answer."""
+    """Return the `ResponseHead` of a relaying host's response."""
     outcome = first_value(headers, OUTCOME)
     if outcome == NOT_RUN:
-        wait = first_value(headers, RETRY_AFTER)
+        retry_after = first_value(headers, RETRY_AFTER)
         try:
             reason = Reason(first_value(headers, REASON).decode("ascii"))
         except ValueError:
             reason = Reason.REFUSED
-        return Head(
+        return ResponseHead(
             not_run=True,
-            retry_after=float(wait) if wait else NOTHING,
+            retry_after=float(retry_after) if retry_after else NOTHING,
             reason=reason,
         )
     if outcome != ANSWERED:
-        return Head()
+        return ResponseHead()
     head = codec.read_head(status, headers)
     server = first_value(headers, SERVER).decode("latin-1")
     for name in (OUTCOME, SERVER, REASON):
         headers.removeHeader(name)
-    return Head(echo=head.echo, stamped=True, server_id=server)
+    return ResponseHead(
+        echoed_id=head.echoed_id, signed=True, server_id=server
+    )
 
 
 class RelayApi:
-    """Carry out requests that hosts of other regions forward.
+    """Serve requests that hosts of other regions forward.
 
     Args:
         state: The `EntryState`.
-        snapshot: Called for the bytes of this host's copy of the store.
+        snapshot: Returns the bytes of this host's snapshot of the store.
     """
 
     def __init__(self, state, snapshot):
@@ -128,29 +130,29 @@
 
     def handle(self, request):
         """Serve one HTTP request of another host."""
-        header = request.requestHeaders.getRawHeaders(ORDER_HEADER)
+        header = request.requestHeaders.getRawHeaders(RELAY_HEADER)
         if not header:
             self.handle_page(request)
             return
         if not self.state.members.is_known(request.peer_ip):
-            # A host that has just started may be a stranger for a moment.
-            # It must not take this for the answer of a server.
+            # A host that has just started may not be a known member yet.
+            # The headers keep it from taking this for a server's response.
             respond_refusal(
                 request,
                 403,
-                "not a host of this system",
+                "the sender is not a known host of this system",
                 [(OUTCOME, NOT_RUN), (REASON, str(Reason.REFUSED).encode())],
             )
             return
         try:
-            order = decode_order(header[0])
+            parameters = decode_parameters(header[0])
         except ProtocolError as problem:
             respond_refusal(request, 400, str(problem))
             return
-        Relay(self, request, order).start()
+        Relay(self, request, parameters).start()
 
     def handle_page(self, request):
-        """Answer with this host's copy of the store."""
+        """Respond with this host's snapshot of the store."""
         if request.path != b"/state":
             respond_refusal(request, 404, "no such page")
             return
@@ -159,41 +161,47 @@
         request.write(body)
         request.finish()
 
-    def barred(self, order):
-        """Return why this region may not serve an order, or `NOTHING`.
+    def denial_reason(self, parameters):
+        """Return why this region may not serve a request, or `NOTHING`.
 
-        Checked here as well: the sender's configuration may be older.
+        This is checked here as well, since the configuration of the sending
+        host may be older.
         """
         current = self.state.keeper.current
         if current is NOTHING:
             return Reason.NO_CONFIGURATION
-        bound = [one for one in current.routes if one.name == order.route]
-        workspace = current.workspaces.get(order.workspace)
+        restrictions = [
+            one for one in current.routes if one.name == parameters.route
+        ]
+        workspace = current.workspaces.get(parameters.workspace)
         if workspace is not None:
-            bound.append(workspace)
+            restrictions.append(workspace)
         region = self.state.settings.region
-        if all(not one.homes or region in one.homes for one in bound):
+        if all(not one.homes or region in one.homes for one in restrictions):
             return NOTHING
         return Reason.RESIDENCY
 
 
 class Relay:
-    """One forwarded request.
+    """Handle one forwarded request.
 
     Args:
         api: The `RelayApi`.
         request: The `WebRequest`.
-        order: The `RelayOrder`.
+        parameters: The `RelayParameters`.
     """
 
-    def __init__(self, api, request, order):
+    def __init__(self, api, request, parameters):
         self.api = api
         self.state = api.state
         self.request = request
-        self.order = order
+        self.parameters = parameters
         self.sink = AnswerSink(request)
-        self.suspicion = Suspicion(
-            self.state.sharing, request, order.caller, order.key_digest
+        self.crash_check = CrashCheck(
+            self.state.sharing,
+            request,
+            parameters.caller,
+            parameters.key_digest,
         )
         self.attempt = NOTHING
         self.arrived = self.state.clock.seconds()
@@ -203,15 +211,15 @@
         self.predicted = 0.0
 
     def start(self):
-        """Begin; the answer ends it."""
-        gone = self.request.notifyFinish()
-        gone.addErrback(self.caller_gone)
+        """Start processing; it ends with the response."""
+        disconnected = self.request.notifyFinish()
+        disconnected.addErrback(self.handle_disconnect)
         self.api.relayed.add(self)
         work = defer.ensureDeferred(self.run())
-        work.addBoth(self.ended)
+        work.addBoth(self.handle_end)
 
-    def ended(self, result):
-        """Forget the request; write an unexpected error to the log."""
+    def handle_end(self, result):
+        """Remove the request; log an unexpected error."""
         self.api.relayed.discard(self)
         if hasattr(result, "getTraceback"):
             self.state.timeline.note(
@@ -220,26 +228,28 @@
             if not self.sink.finished:
                 self.sink.abort()
 
-    def caller_gone(self, reason):
-        """Stop the server's work when the sender has gone."""
+    def handle_disconnect(self, reason):
+        """Stop the server's work when the sending host has disconnected."""
         if self.attempt is NOTHING:
             return
         waited = self.state.clock.seconds() - self.began
         silent = waited > silence_limit(self.predicted)
-        silent = silent and not self.attempt.first_seen
+        silent = silent and not self.attempt.first_data_received
         self.attempt.abandon(Reason.CALLER_GONE, silent=silent)
 
     async def run(self):
-        """Place the request, make one attempt and pass its answer on."""
-        facts = self.state.codec.read_caller(self.request.requestHeaders)
-        self.id = facts.id.decode("latin-1")
-        barred = self.api.barred(self.order)
-        if barred is not NOTHING:
-            self.refuse(NotRun(barred, BARRED_RETRY_AFTER))
+        """Place the request, make one attempt and forward its response."""
+        metadata = self.state.codec.read_caller(self.request.requestHeaders)
+        self.id = metadata.id.decode("latin-1")
+        denial_reason = self.api.denial_reason(self.parameters)
+        if denial_reason is not NOTHING:
+            self.refuse(NotRun(denial_reason, DENIED_RETRY_SECONDS))
             return
-        if self.refuse_for_crashes():
+        if self.refuse_if_crashing():
             return
-        number, decision = await self.state.asking.place(self.ask(facts))
+        number, decision = await self.state.coordinator.place(
+            self.ask(metadata)
+        )
         if not isinstance(decision, Placed):
             outcome = NotRun(Reason.OVERLOADED, decision.retry_after)
             details = notice_details(decision)
@@ -253,89 +263,97 @@
             urgency=decision.urgency,
             copy_from=decision.copy_from,
             peer=self.request.peer_ip,
-            placed_by=self.state.asking.placer_of(number),
+            placed_by=self.state.coordinator.placer_of(number),
             **notice_details(decision),
         )
-        if self.sink.gone or self.refuse_for_crashes():
-            self.state.asking.note_end(number, Finding.UNUSED)
+        if self.sink.gone or self.refuse_if_crashing():
+            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
             return
-        outcome = await self.carry(number, decision, facts)
+        outcome = await self.run_attempt(number, decision, metadata)
         self.conclude(outcome)
 
-    def refuse_for_crashes(self):
-        """Refuse a request under which servers end; return whether.
+    def refuse_if_crashing(self):
+        """Refuse a request that crashes servers; return whether it did.
 
-        Checked here as well: its sender may not have heard of it yet.
+        This is checked here as well, since the sending host may not have
+        received the report of the crashes yet.
         """
-        reason = self.suspicion.refusal()
+        reason = self.crash_check.refusal()
         if reason is NOTHING:
             return False
-        evidence = self.suspicion.evidence()
-        self.refuse(NotRun(reason, HELD_RETRY_AFTER), evidence=evidence)
+        evidence = self.crash_check.evidence()
+        self.refuse(NotRun(reason, SUSPECTED_RETRY_SECONDS), evidence=evidence)
         return True
 
-    def ask(self, facts):
-        """Return the `Ask`; it stays in this region."""
-        return Ask(
+    def ask(self, metadata):
+        """Return the `PlacementQuery`, which is confined to this region."""
+        return PlacementQuery(
             host="",
             number=0,
-            service=self.order.service,
-            demand=replace(facts.demand, answer_within=self.order.time_left),
-            time_left=self.order.objective_left,
-            patience=self.order.patience,
-            priority=self.order.priority,
-            excluded=tuple(self.order.excluded),
+            service=self.parameters.service,
+            demand=replace(
+                metadata.demand, answer_within=self.parameters.time_left
+            ),
+            time_left=self.parameters.objective_left,
+            patience=self.parameters.patience,
+            priority=self.parameters.priority,
+            excluded=tuple(self.parameters.excluded),
             may_leave=False,
-            begun=self.order.begun,
-            apart=self.suspicion.apart(),
+            begun=self.parameters.begun,
+            apart=self.crash_check.apart(),
         )
 
-    async def carry(self, number, placed, facts):
+    async def run_attempt(self, number, placed, metadata):
         """Make the attempt and return its outcome."""
         self.server_id = placed.server_id
         self.predicted = placed.predicted
         began = self.began = self.state.clock.seconds()
-        left = self.order.time_left - (began - self.arrived)
+        left = self.parameters.time_left - (began - self.arrived)
         headers = self.state.codec.server_headers(
             self.request.requestHeaders,
             time_left=left,
             server_id=placed.server_id,
-            urgency=placed.urgency if facts.demand.tokens_in else NOTHING,
-            last_event=self.order.last_event.encode(),
+            urgency=placed.urgency if metadata.demand.tokens_in else NOTHING,
+            last_event=self.parameters.last_event.encode(),
             copy_from=placed.copy_from,
-            workspace=self.order.workspace,
+            workspace=self.parameters.workspace,
         )
-        headers.removeHeader(ORDER_HEADER)
+        headers.removeHeader(RELAY_HEADER)
         self.attempt = Attempt(
             self.state.connections,
-            Lane(placed.server_id, placed.address),
-            sending_of(self.request, facts, headers, self.order),
+            Endpoint(placed.server_id, placed.address),
+            outgoing_request_for(
+                self.request, metadata, headers, self.parameters
+            ),
             self.state.codec.read_head,
             self.state.clock,
-            opened=self.open_stream,
-            started=lambda: self.state.asking.note_start(
+            on_stream=self.open_stream,
+            on_first_data=lambda: self.state.coordinator.note_start(
                 number, self.state.clock.seconds() - began
             ),
-            heard=self.state.notices.listener(placed.server_id, self.id),
+            on_head=self.state.notices.head_handler(placed.server_id, self.id),
         )
         outcome = await self.attempt.run()
-        self.state.asking.note_end(number, self.attempt.finding)
-        await self.state.endings.examine(
+        self.state.coordinator.note_end(number, self.attempt.finding)
+        await self.state.crash_detector.examine(
             self.attempt,
-            self.order.caller,
+            self.parameters.caller,
             placed.predicted,
             sent_by=self.request.peer_ip,
         )
         return outcome
 
-    def open_stream(self, answer, response):
-        """Pass the head of a stream on; return what takes its events."""
-        self.sink.start(answer.status, self.marked(answer.headers))
+    def open_stream(self, buffered_response, response):
+        """Forward the head of a stream; return the function for events."""
+        self.sink.start(
+            buffered_response.status,
+            self.relay_headers(buffered_response.headers),
+        )
         self.sink.pausing(response._transport)
         return self.sink.write
 
-    def marked(self, headers):
-        """Return the headers of an answer with what the sender needs."""
+    def relay_headers(self, headers):
+        """Return response headers with those for the sending host."""
         return [
             *headers,
             (OUTCOME, ANSWERED),
@@ -343,13 +361,13 @@
         ]
 
     def conclude(self, outcome):
-        """End the answer as the outcome demands."""
+        """End the response according to the outcome."""
         self.state.timeline.note(
             EventKind.RELAYED,
             request=self.id,
             server=self.server_id,
             outcome=outcome,
-            service=self.order.service,
+            service=self.parameters.service,
             **self.state.provenance.details(),
         )
         if self.sink.started:
@@ -358,9 +376,11 @@
             else:
                 self.sink.abort()
         elif isinstance(outcome, Answered):
-            answer = self.attempt.answer
+            buffered_response = self.attempt.buffered_response
             self.sink.whole(
-                answer.status, self.marked(answer.headers), answer.body
+                buffered_response.status,
+                self.relay_headers(buffered_response.headers),
+                buffered_response.body,
             )
         elif isinstance(outcome, Unknown):
             self.sink.abort()
@@ -368,13 +388,13 @@
             self.refuse(outcome)
 
     def refuse(self, outcome, predicted=0.0, evidence="", **details):
-        """Tell the sender that the request was not run.
+        """Respond to the sending host that the request was not run.
 
         Args:
             outcome: The `NotRun`.
-            predicted: Seconds to an answer, had it been admitted.
-            evidence: Why servers are kept from it, or "".
-            details: What else the line is to say.
+            predicted: Predicted seconds to a response, had it been admitted.
+            evidence: Why the request is kept away from servers, or "".
+            details: Further fields of the log line.
         """
         self.state.timeline.note(
             EventKind.FORWARD_REFUSED,
@@ -396,23 +416,23 @@
         respond_refusal(self.request, 503, str(outcome.reason), headers)
 
 
-def sending_of(request, facts, headers, order):
-    """Return the `Sending` of a request.
+def outgoing_request_for(request, metadata, headers, parameters):
+    """Return the `OutgoingRequest` of a request.
 
     Args:
         request: The `WebRequest`.
-        facts: The `CallerFacts`.
+        metadata: The `RequestMetadata`.
         headers: `Headers` to send.
-        order: Says whether it is a stream and may be repeated.
+        parameters: States whether it is a stream and may be repeated.
     """
     request.content.seek(0)
-    return Sending(
-        id=facts.id,
+    return OutgoingRequest(
+        id=metadata.id,
         method=request.method,
         uri=request.uri,
         headers=headers,
         body=request.content.read(),
-        stream=order.stream,
-        repeatable=order.repeatable,
-        key_digest=order.key_digest,
+        stream=parameters.stream,
+        repeatable=parameters.repeatable,
+        key_digest=parameters.key_digest,
     )
--- a/src/hyssopspring/entry/farhosts.py
+++ b/src/hyssopspring/entry/remotehosts.py
@@ -1,27 +1,27 @@
-"""Hosts of other regions, and connections that are ready to them."""
+"""Choice of hosts of other regions, and spare connections to them."""
 
 from ..core.sentinels import NOTHING
-from .connections import Lane
+from .connections import Endpoint
 
-__all__ = ["FarHosts"]
+__all__ = ["RemoteHosts"]
 
-PEER_IDLE = 12.0
-"""Seconds for which an idle connection to another host is kept; the other
-side closes it after 30 s."""
+PEER_IDLE_SECONDS = 12.0
+"""Time for which an idle connection to another host is kept. The other side
+closes it after 30 s."""
 
 SPARE_CONNECTIONS = 2
 """Idle connections to a region that a host keeps while it sends requests
-there. One host sends a few a second at a peak, and a new connection is
-open within 0.2 s."""
+there. At a peak one host sends a few requests a second, and a new connection
+is open within 0.2 s."""
 
 
-class FarHosts:
-    """Choose hosts of other regions by the connections to them.
+class RemoteHosts:
+    """Choose hosts of other regions by the open connections to them.
 
-    A new connection to another region costs a round trip of 160 ms before
-    the request can leave. Chosen at random among dozens of hosts, nearly
-    each request would pay it: of 3,400 reviews that were sent away one in
-    five missed its objective of 0.8 s by it.
+    A new connection to another region costs a round trip of 160 ms before the
+    request can be sent. If a host were drawn at random among dozens, almost
+    every request would pay this cost: of 3,400 reviews that were sent to
+    another region, one in five missed its objective of 0.8 s because of it.
 
     Args:
         members: The `Members`.
@@ -41,7 +41,7 @@
 
         Args:
             region: The region.
-            tried: Names of hosts that have failed the request already.
+            tried: Names of hosts at which the request has already failed.
 
         Returns:
             A `Member`, or `NOTHING`.
@@ -56,17 +56,19 @@
         if not hosts:
             return NOTHING
         ready = [one for one in hosts if self.connections.count(one.name)]
-        chosen = self.draw(ready or hosts)
+        chosen = self.choose_weighted(ready or hosts)
         idle = sum(self.connections.count(one.name) for one in ready)
         if idle <= SPARE_CONNECTIONS:
-            self.connections.prepare(self.lane(self.draw(hosts)))
+            self.connections.preconnect(
+                self.endpoint(self.choose_weighted(hosts))
+            )
         return chosen
 
-    def draw(self, hosts):
-        """Return one of *hosts*, by what each can carry."""
+    def choose_weighted(self, hosts):
+        """Return a random one of *hosts*, weighted by capacity."""
         weights = [member.capacity for member in hosts]
         return self.rng.choices(hosts, weights)[0]
 
-    def lane(self, member):
-        """Return the `Lane` to a host of another region."""
-        return Lane(member.name, member.relay, True, PEER_IDLE)
+    def endpoint(self, member):
+        """Return the `Endpoint` to a host of another region."""
+        return Endpoint(member.name, member.relay, True, PEER_IDLE_SECONDS)
--- a/src/hyssopspring/entry/copies.py
+++ b/src/hyssopspring/entry/replication.py
@@ -1,4 +1,4 @@
-"""Copies of the store that hosts of a region pass on to each other."""
+"""Replication of store changes and snapshots between hosts of a region."""
 
 import zlib
 
@@ -10,42 +10,43 @@
 from ..core.exceptions import NoAnswerError
 from ..core.sentinels import NOTHING
 from ..stores.keyvalues import Entry
-from .connections import Lane
+from .connections import Endpoint
 from .fetching import fetch
 from .hostentries import MEMBERS_PREFIX, encode_host
 from .messages import RemovedItem, StoreChange, StoredItem
 from .mirrors import Changes, Removal
-from .provenance import Origin, Way
+from .provenance import Channel, Origin
 
-__all__ = ["Copies", "Snapshot", "split_rows"]
+__all__ = ["Replication", "Snapshot", "split_rows"]
 
 BATCH_BYTES = 6_000
-"""Bytes of items that are passed on in one datagram."""
+"""Size of the items in one change datagram."""
 
-FASTEST = 1
-"""Level of compression of a copy. One of 80 routes and 51 servers shrinks
-from 36 KB to 3 KB, and the smallest hosts have links of 5 Mbit a second."""
+COMPRESSION_LEVEL = 1
+"""zlib level for snapshots. At this level a snapshot of 80 routes and 51
+servers shrinks from 36 KB to 3 KB; the smallest hosts have links of 5
+Mbit/s."""
 
-PEER_TIMEOUT = 1.5
-"""Seconds for another host's copy of the store, over its link."""
+PEER_TIMEOUT_SECONDS = 1.5
+"""Timeout for reading another host's snapshot over its link."""
 
-PEER_PAUSE = 0.3
-"""Seconds between two reads of other hosts' copies. It is also the time
-that this host's own watch gets to bring what a neighbour has already."""
+PEER_READ_PAUSE_SECONDS = 0.3
+"""Pause between two reads of other hosts' snapshots. It is also the time in
+which this host's own watch may deliver what a neighbour already has."""
 
-NEIGHBOURS_ASKED = 2
-"""Hosts of its region, besides seeds, that a starting host asks."""
+MAX_NEIGHBOURS_READ = 2
+"""Hosts of its region, besides seeds, that a starting host reads from."""
 
-PEER_IDLE = 6.0
+PEER_IDLE_SECONDS = 6.0
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
     """A host's copy of the store.
 
     Attributes:
-        revisions: Newest revision that it reflects, of what operators
-            wrote and of the servers.
-        operator: Items that operators have written.
+        revisions: Newest revisions that it reflects, of the operators' keys
+            and of the servers' keys.
+        operator: Items written by operators.
         servers: Entries of backend servers.
         hosts: Entries of hosts.
     """
@@ -60,33 +61,42 @@
 _SNAPSHOT = msgspec.msgpack.Decoder(Snapshot)
 
 
-class Copies:
-    """Pass changes on, and read another host's copy when some are missed.
+class Replication:
+    """Broadcast changes, and read a peer's snapshot when some were missed.
 
     Args:
         state: The `EntryState`.
-        mirrors: `Mirror` of what operators wrote and of the servers, by
+        mirrors: `Mirror` of the operators' keys and of the servers' keys, by
             prefix and in this order.
-        host_wrote: Called with the `Entry` of a host in a copy.
-        spread: Called with a `StoreChange` for the hosts of the region.
+        on_host_written: Called with the `Entry` of a host in a snapshot.
+        broadcast: Called with a `StoreChange` for the hosts of the region.
         spawn: Called with a coroutine to run.
-        unread: Called when a host that has more could not be read.
+        on_peer_unreadable: Called when the snapshot of a host that is ahead
+            could not be read.
     """
 
-    def __init__(self, state, mirrors, host_wrote, spread, spawn, unread):
+    def __init__(
+        self,
+        state,
+        mirrors,
+        on_host_written,
+        broadcast,
+        spawn,
+        on_peer_unreadable,
+    ):
         self.state = state
         self.mirrors = mirrors
-        self.host_wrote = host_wrote
-        self.spread = spread
+        self.on_host_written = on_host_written
+        self.broadcast = broadcast
         self.spawn = spawn
-        self.unread = unread
+        self.on_peer_unreadable = on_peer_unreadable
         self.fetching = False
         self.fetch_due = 0.0
-        self.newest_told = 0
-        self.newest_told_at = 0.0
+        self.newest_reported_version = 0
+        self.newest_reported_at = 0.0
 
-    def pass_on(self, prefix, changes, outage):
-        """Tell the hosts of the region what a watch has brought."""
+    def broadcast_changes(self, prefix, changes, outage):
+        """Broadcast changes from a watch to the hosts of the region."""
         rows = [
             StoredItem(entry.key, entry.value, entry.revision)
             for entry in changes.entries
@@ -96,18 +106,18 @@
             for removal in changes.removals
         ]
         rows.sort(key=lambda row: row.revision)
-        previous = self.mirrors[prefix].newest
+        previous = self.mirrors[prefix].newest_revision
         for batch in split_rows(rows):
             newest = max(previous, batch[-1].revision)
-            self.spread(self.change_of(prefix, previous, batch, outage))
+            self.broadcast(self.make_change(prefix, previous, batch, outage))
             previous = newest
 
-    def change_of(self, prefix, previous, batch, outage):
+    def make_change(self, prefix, previous, batch, outage):
         """Return the `StoreChange` of a batch.
 
-        An item that is too large for a datagram is left out. The message
-        then names its revision as the one before, so that whoever gets it
-        knows that it lacks something, and reads a copy.
+        An item that is too large for a datagram is left out. The message then
+        names the item's revision as the previous one, so that a receiver
+        detects the gap and reads a snapshot.
         """
         if sum(map(row_size, batch)) > BATCH_BYTES:
             previous, batch = batch[-1].revision, []
@@ -124,43 +134,46 @@
     def revisions(self):
         """Newest revisions that this host has seen, by prefix.
 
-        They are kept apart, as the watches bring their changes in any
-        order: a later change of a server would hide that an earlier one
-        of the configuration was lost.
+        They are kept separately because watches deliver their changes in any
+        order: with a single revision, a later change of a server would hide
+        the loss of an earlier change of the configuration.
         """
-        return tuple(mirror.newest for mirror in self.mirrors.values())
+        return tuple(
+            mirror.newest_revision for mirror in self.mirrors.values()
+        )
 
-    def take_change(self, message):
-        """Take over what another host's watch has brought.
+    def apply_change(self, message):
+        """Apply changes that another host's watch has received.
 
-        A datagram may be lost. Then the next one follows on a revision
-        that this host has not seen, and a whole copy is read instead.
-        Until it has come, the host goes on to name its old revision.
+        A datagram may be lost. The next one then names a previous revision
+        that this host has not seen, and the host reads a whole snapshot
+        instead. Until the snapshot arrives, it keeps reporting its old
+        revision.
         """
         mirror = self.mirrors.get(message.prefix)
         if mirror is None:
             return
-        seen = mirror.newest
+        seen = mirror.newest_revision
         changes = Changes(
-            tuple(entries(message.written)),
+            tuple(decode_entries(message.written)),
             tuple(Removal(row.key, row.revision) for row in message.removed),
             0,
         )
         mirror.apply(
             changes,
             outage=message.outage,
-            origin=Origin(Way.CHANGE, message.host),
+            origin=Origin(Channel.CHANGE, message.host),
         )
         if message.previous <= seen:
             return
-        mirror.newest = seen
+        mirror.newest_revision = seen
         member = self.state.members.others.get(message.host)
         if member is not None and not self.fetching:
             self.fetching = True
             self.spawn(self.read_host(member.relay))
 
     def snapshot(self):
-        """Return the bytes of this host's copy of the store."""
+        """Return this host's copy of the store, encoded and compressed."""
         own = self.state.members.own
         hosts = [
             StoredItem(
@@ -170,18 +183,18 @@
             )
             for member in (*self.state.members.others.values(), own)
         ]
-        copy = Snapshot(
-            self.revisions, *map(items, self.mirrors.values()), hosts
+        snapshot = Snapshot(
+            self.revisions, *map(encode_items, self.mirrors.values()), hosts
         )
-        return zlib.compress(_ENCODER.encode(copy), FASTEST)
+        return zlib.compress(_ENCODER.encode(snapshot), COMPRESSION_LEVEL)
 
-    def note_behind(self, member):
-        """Put it on the time line, once for each version that is newer."""
-        newer = max(self.newest_told, self.state.keeper.version)
+    def record_behind(self, member):
+        """Log that this host is behind a peer, once for each newer version."""
+        newer = max(self.newest_reported_version, self.state.keeper.version)
         if member.version <= newer:
             return
-        self.newest_told = member.version
-        self.newest_told_at = self.state.clock.seconds()
+        self.newest_reported_version = member.version
+        self.newest_reported_at = self.state.clock.seconds()
         self.state.timeline.note(
             EventKind.CONFIG_BEHIND,
             peer=member.name,
@@ -191,29 +204,29 @@
         )
 
     def is_behind(self, since, seconds):
-        """Whether a watch does not bring what another host has.
+        """Return whether a watch fails to deliver what another host has.
 
         Args:
-            since: Time since when the watch waits.
-            seconds: Seconds that it has to bring it.
+            since: Time at which the watch call started.
+            seconds: Time within which the watch must deliver it.
         """
-        if self.newest_told <= self.state.keeper.version:
+        if self.newest_reported_version <= self.state.keeper.version:
             return False
-        due_at = self.newest_told_at + seconds
+        due_at = self.newest_reported_at + seconds
         return since <= due_at <= self.state.clock.seconds()
 
-    def neighbour_is_newer(self, member):
-        """Read a neighbour's copy if this host's stays behind it.
+    def on_peer_ahead(self, member):
+        """Read a neighbour's snapshot if this host stays behind it.
 
-        A watch that fell silent, or a store that turns this host away,
-        would leave it with an old configuration.
+        Otherwise a host whose watch has died, or whose calls the store
+        rejects, would keep an old configuration.
         """
-        self.note_behind(member)
+        self.record_behind(member)
         now = self.state.clock.seconds()
         if self.fetching or member.region != self.state.members.own.region:
             return
         if self.fetch_due == 0.0 or now - self.fetch_due > 1.0:
-            self.fetch_due = now + PEER_PAUSE
+            self.fetch_due = now + PEER_READ_PAUSE_SECONDS
             return
         if now < self.fetch_due:
             return
@@ -222,14 +235,14 @@
         self.spawn(self.read_host(member.relay))
 
     async def start(self):
-        """Read other hosts' copies of the store, for a start without it.
+        """Read other hosts' snapshots, to start without the store.
 
-        A seed may be behind, so what it has is not put in force before
-        hosts of this region that it knows have been asked too.
+        A seed may be behind, so its snapshot is applied only after hosts of
+        this region that the seed lists have been read too.
         """
         own = self.state.settings
         seeds = [one for one in own.seeds if one != own.control]
-        copies = await self.fetch_copies(seeds)
+        snapshots = await self.fetch_snapshots(seeds)
         asked = {split_address(address)[0] for address in seeds}
         neighbours = [
             member.relay
@@ -237,16 +250,18 @@
             if member.region == own.region
             and split_address(member.relay)[0] not in asked
         ]
-        copies += await self.fetch_copies(neighbours[:NEIGHBOURS_ASKED])
-        copies.sort(key=lambda pair: pair[1].revisions, reverse=True)
-        for address, snapshot in copies:
-            self.take_snapshot(snapshot, address)
+        snapshots += await self.fetch_snapshots(
+            neighbours[:MAX_NEIGHBOURS_READ]
+        )
+        snapshots.sort(key=lambda pair: pair[1].revisions, reverse=True)
+        for address, snapshot in snapshots:
+            self.apply_snapshot(snapshot, address)
 
-    async def fetch_copies(self, addresses):
-        """Return address and `Snapshot` of each host that answers."""
+    async def fetch_snapshots(self, addresses):
+        """Return address and `Snapshot` of each host that responds."""
         found = await defer.gatherResults(
             [
-                defer.ensureDeferred(self.fetch_copy(address))
+                defer.ensureDeferred(self.fetch_snapshot(address))
                 for address in addresses
             ]
         )
@@ -254,66 +269,68 @@
         return [pair for pair in pairs if pair[1] is not NOTHING]
 
     async def read_host(self, address):
-        """Take over another host's copy of the store."""
+        """Read and apply another host's snapshot."""
         try:
-            snapshot = await self.fetch_copy(address)
+            snapshot = await self.fetch_snapshot(address)
         finally:
             self.fetching = False
         if snapshot is not NOTHING:
-            self.take_snapshot(snapshot, address)
+            self.apply_snapshot(snapshot, address)
         else:
-            self.unread()
+            self.on_peer_unreadable()
 
-    async def fetch_copy(self, address):
+    async def fetch_snapshot(self, address):
         """Return the `Snapshot` of another host, or `NOTHING`.
 
-        The hosts that it knows are learned at once.
+        The hosts listed in it are recorded at once.
         """
-        lane = Lane(f"state {address}", address, True, PEER_IDLE)
+        endpoint = Endpoint(
+            f"state {address}", address, True, PEER_IDLE_SECONDS
+        )
         try:
             status, data = await fetch(
                 self.state.connections,
-                lane,
+                endpoint,
                 b"GET",
                 b"/state",
                 address.encode(),
                 b"",
-                timeout=PEER_TIMEOUT,
+                timeout=PEER_TIMEOUT_SECONDS,
                 clock=self.state.clock,
             )
             if status != 200:
-                raise NoAnswerError(f"status {status}")
+                raise NoAnswerError(f"snapshot response has status {status}")
             snapshot = _SNAPSHOT.decode(zlib.decompress(data))
         except (NoAnswerError, msgspec.DecodeError, zlib.error) as problem:
             self.state.timeline.note(
                 EventKind.PEER_UNREAD, peer=address, why=problem
             )
-            self.state.connections.forget(lane.key)
+            self.state.connections.close_idle(endpoint.key)
             return NOTHING
         for row in snapshot.hosts:
-            self.host_wrote(Entry(row.key, row.value, row.revision))
+            self.on_host_written(Entry(row.key, row.value, row.revision))
         return snapshot
 
-    def take_snapshot(self, snapshot, address):
-        """Take over what is newer in another host's copy."""
-        origin = Origin(Way.COPY, address)
+    def apply_snapshot(self, snapshot, address):
+        """Apply the parts of another host's snapshot that are newer."""
+        origin = Origin(Channel.COPY, address)
         rows = (snapshot.operator, snapshot.servers)
         for mirror, revision, items_ in zip(
             self.mirrors.values(), snapshot.revisions, rows, strict=True
         ):
-            if revision > mirror.newest:
-                mirror.replace(entries(items_), revision, origin=origin)
+            if revision > mirror.newest_revision:
+                mirror.replace(decode_entries(items_), revision, origin=origin)
 
 
 def row_size(row):
-    """Return the bytes that an item takes in a datagram."""
+    """Return the size in bytes of an item in a datagram."""
     return len(row.key) + len(getattr(row, "value", b""))
 
 
 def split_rows(rows):
     """Yield lists of rows that each fit into a datagram.
 
-    A row that is too large for one stands alone.
+    A row that is too large for a datagram forms a list of its own.
     """
     batch, size = [], 0
     for row in rows:
@@ -327,7 +344,7 @@
         yield batch
 
 
-def items(mirror):
+def encode_items(mirror):
     """Return a `StoredItem` for each entry of a `Mirror`."""
     return [
         StoredItem(entry.key, entry.value, entry.revision)
@@ -335,6 +352,6 @@
     ]
 
 
-def entries(rows):
+def decode_entries(rows):
     """Return an `Entry` for each `StoredItem`."""
     return [Entry(row.key, row.value, row.revision) for row in rows]
--- a/src/hyssopspring/entry/rosters.py
+++ b/src/hyssopspring/entry/rosters.py
@@ -1,31 +1,31 @@
-"""What hosts tell each other of hosts that they do not hear themselves."""
+"""Rosters: reports about hosts that the receiver has no contact with."""
 
 import enum
 import math
 
 from ..core.sentinels import NOTHING
-from ..traffic.members import CONTACT_AGE, SETTLED
-from .hostentries import host_entry, member_of
-from .messages import Records, RecordsAsk, Roster, RosterRow
+from ..traffic.members import MAX_CONTACT_AGE_SECONDS, PLACER_WARMUP_SECONDS
+from .hostentries import entry_from_member, member_from_entry
+from .messages import HostEntriesMessage, HostEntriesRequest, Roster, RosterRow
 
 __all__ = ["Rosters"]
 
-TENTHS = 10
-OLDEST_TENTHS = 255
-"""Ages are told in tenths of a second, up to this one; a host that was not
-heard for that long counts as gone."""
+TENTHS_PER_SECOND = 10
+MAX_AGE_TENTHS = 255
+"""Ages are reported in tenths of a second, up to this one; a host without a
+message for that long counts as gone."""
 
-GONE_FOR = 10.0
-"""Seconds for which a host that fell silent is named as gone, in several
-rosters; also the age that its last word is then taken to have."""
+GONE_REPORT_SECONDS = 10.0
+"""Time for which a host that timed out is reported as gone, in several
+rosters. A receiver also sets the age of its last message to this value."""
 
-MOST_ASKED = 40
-"""Hosts that are asked for at once; the answer is a datagram of 6 KB. The
-rest are asked for with the next roster."""
+MAX_RECORDS_REQUESTED = 40
+"""Hosts whose entries are requested at once; the response is a datagram of 6
+KB. The rest are requested with the next roster."""
 
 
 class HostState(enum.IntFlag):
-    """What a roster tells of a host besides that it lives."""
+    """State of a host in a roster, apart from being up."""
 
     LEAVING = 1
     OUT_OF_CONTACT = 2
@@ -35,14 +35,15 @@
 
 
 class Rosters:
-    """Write rosters of hosts, and take over those of others.
+    """Write rosters of hosts, and apply those of other hosts.
 
-    A host hears only the few hosts that it reports to. These hear all that
-    report to them and pass on, in eight bytes a host, who lives.
+    A host exchanges heartbeats only with the few hosts that it reports to.
+    These receive heartbeats from all hosts that report to them, and report in
+    eight bytes a host which hosts are up.
 
     Args:
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
     """
 
@@ -54,105 +55,123 @@
     def roster(self, region, now):
         """Return the `Roster` of the hosts of *region*.
 
-        Those that fell silent of late are named as gone: this host heard
-        them itself, so it knows sooner than who is told of them.
+        Hosts that timed out recently are reported as gone: this host exchanged
+        heartbeats with them itself, so it detects the loss sooner than a host
+        that receives rosters only.
         """
         members = self.members
         rows = [
-            row_of(one, now, gone=not members.is_up(one, now))
+            make_row(one, now, gone=not members.is_up(one, now))
             for one in members.others.values()
-            if one.region == region and told_of(one, now)
+            if one.region == region and is_reportable(one, now)
         ]
         if region == members.own.region:
-            rows.append(RosterRow(members.own.id, 0, state_of(members.own)))
+            rows.append(
+                RosterRow(members.own.id, 0, encode_state(members.own))
+            )
         return Roster(members.own.name, rows)
 
-    def about(self, member, now):
+    def single_host_roster(self, member, now):
         """Return a `Roster` of one host."""
-        return Roster(self.members.own.name, [row_of(member, now)])
+        return Roster(self.members.own.name, [make_row(member, now)])
 
-    def take(self, message):
-        """Take over a roster, and ask for the hosts that are not known."""
+    def handle_roster(self, message):
+        """Apply a roster, and request the entries of unknown hosts."""
         now = self.clock.seconds()
         unknown = []
         for row in message.rows:
             member = self.members.by_id.get(row.id)
             if member is not None:
-                take_row(member, row, now)
+                apply_row(member, row, now)
             elif row.id != self.members.own.id:
                 unknown.append(row.id)
         sender = self.members.others.get(message.host)
         if unknown and sender is not None:
-            ask = RecordsAsk(self.members.own.name, unknown[:MOST_ASKED])
+            ask = HostEntriesRequest(
+                self.members.own.name, unknown[:MAX_RECORDS_REQUESTED]
+            )
             self.datagrams.send(ask, sender.control)
 
-    def tell_records(self, message):
-        """Answer who hosts are."""
+    def handle_records_request(self, message):
+        """Send the entries of the requested hosts."""
         asker = self.members.others.get(message.host)
         if asker is None:
             return
         known = dict(self.members.by_id)
         known[self.members.own.id] = self.members.own
         entries = [
-            host_entry(known[one])
-            for one in message.ids[:MOST_ASKED]
+            entry_from_member(known[one])
+            for one in message.ids[:MAX_RECORDS_REQUESTED]
             if one in known
         ]
-        self.datagrams.send(Records(entries), asker.control)
+        self.datagrams.send(HostEntriesMessage(entries), asker.control)
 
-    def take_records(self, message):
-        """Learn who hosts are."""
+    def handle_records(self, message):
+        """Record the entries of hosts."""
         now = self.clock.seconds()
         for entry in message.hosts:
-            self.members.learn(member_of(entry), spoke_at=now)
+            self.members.add(member_from_entry(entry), announced_at=now)
 
 
-def told_of(member, now):
-    """Whether a host was heard of lately enough to tell of it."""
-    last = member.last_word_at
-    return last is not NOTHING and now - last < GONE_FOR
+def is_reportable(member, now):
+    """Return whether a host was up recently enough to be reported."""
+    last = member.last_seen_at
+    return last is not NOTHING and now - last < GONE_REPORT_SECONDS
 
 
-def row_of(member, now, *, gone=False):
-    """Return the `RosterRow` of a host that was heard or told of."""
-    state = state_of(member) | (HostState.GONE if gone else 0)
+def make_row(member, now, *, gone=False):
+    """Return the `RosterRow` of a host."""
+    state = encode_state(member) | (HostState.GONE if gone else 0)
     return RosterRow(member.id, age_tenths(member, now), int(state))
 
 
-def take_row(member, row, now):
-    """Take over what a roster says of a host.
+def apply_row(member, row, now):
+    """Apply a row of a roster to a host.
 
-    What the host itself has said of late is newer.
+    A recent message from the host itself takes precedence.
     """
-    heard = now - row.age_tenths / TENTHS
+    last_seen_at = now - row.age_tenths / TENTHS_PER_SECOND
     if HostState.GONE in HostState(row.state):
-        forget_word(member, heard)
+        mark_gone(member, last_seen_at)
         return
-    if member.told_at is NOTHING or heard > member.told_at:
-        member.told_at = heard
-    if member.heard_at is not NOTHING and member.heard_at >= heard:
+    if (
+        member.reported_alive_at is NOTHING
+        or last_seen_at > member.reported_alive_at
+    ):
+        member.reported_alive_at = last_seen_at
+    if (
+        member.last_heartbeat_at is not NOTHING
+        and member.last_heartbeat_at >= last_seen_at
+    ):
         return
     state = HostState(row.state)
     member.leaving = HostState.LEAVING in state
     out_of_contact = HostState.OUT_OF_CONTACT in state
-    member.contact_age = 2 * CONTACT_AGE if out_of_contact else 0.0
-    member.up_seconds = 0.0 if HostState.UNSETTLED in state else SETTLED
+    member.contact_age = 2 * MAX_CONTACT_AGE_SECONDS if out_of_contact else 0.0
+    member.up_seconds = (
+        0.0 if HostState.UNSETTLED in state else PLACER_WARMUP_SECONDS
+    )
     configured = HostState.UNCONFIGURED not in state
     member.version = max(1, member.version) if configured else 0
 
 
-def forget_word(member, heard):
-    """Take a host for gone of which nothing was heard since *heard*."""
-    if member.told_at is not NOTHING:
-        member.told_at = min(member.told_at, heard - GONE_FOR)
+def mark_gone(member, last_seen_at):
+    """Treat a host as gone that was last seen at *last_seen_at*."""
+    if member.reported_alive_at is not NOTHING:
+        member.reported_alive_at = min(
+            member.reported_alive_at, last_seen_at - GONE_REPORT_SECONDS
+        )
 
 
-def state_of(member):
-    """Return the `HostState` of a host."""
+def encode_state(member):
+    """Return the `HostState` of a host as an integer."""
     states = (
         (HostState.LEAVING, member.leaving),
-        (HostState.OUT_OF_CONTACT, member.contact_age > CONTACT_AGE),
-        (HostState.UNSETTLED, member.up_seconds < SETTLED),
+        (
+            HostState.OUT_OF_CONTACT,
+            member.contact_age > MAX_CONTACT_AGE_SECONDS,
+        ),
+        (HostState.UNSETTLED, member.up_seconds < PLACER_WARMUP_SECONDS),
         (HostState.UNCONFIGURED, not member.version),
     )
     found = HostState(0)
@@ -163,10 +182,10 @@
 
 
 def age_tenths(member, now):
-    """Return the tenths of a second since a host was heard, rounded up.
+    """Return the age of a host's last message in tenths, rounded up.
 
-    Rounded down, the word of a host that is gone would grow younger with
-    each host that passes it on.
+    If it were rounded down, the last message of a host that is gone would seem
+    newer with each host that passes its age on.
     """
-    age = math.ceil((now - member.last_word_at) * TENTHS)
-    return min(OLDEST_TENTHS, max(0, age))
+    age = math.ceil((now - member.last_seen_at) * TENTHS_PER_SECOND)
+    return min(MAX_AGE_TENTHS, max(0, age))
--- a/src/hyssopspring/entry/views.py
+++ b/src/hyssopspring/entry/views.py
@@ -1,8 +1,8 @@
-"""How surely this host's configuration is the newest one.
+"""Confirmation that this host's configuration is the newest one.
 
-A key that an operator has taken away must be refused everywhere within a
-bound, also by a host that was suspended or cut off and has not heard of it.
-So a host serves requests with a key only for as long as it knows that its
+A key that an operator has revoked must be refused everywhere within a time
+limit, also by a host that was suspended or cut off and has not received the
+revocation. A host therefore accepts keys only while it can prove that its
 configuration was the newest a short while ago.
 """
 
@@ -10,120 +10,130 @@
 
 from ..core.events import EventKind
 from ..core.sentinels import NOTHING
-from ..traffic.members import LEARNING
-from .messages import ViewAnswer, ViewAsk
+from ..traffic.members import STARTUP_DISCOVERY_SECONDS
+from .messages import ViewRequest, ViewResponse
 
-__all__ = ["ConfirmedView", "ViewChecking"]
+__all__ = ["ConfirmedView", "ViewVerifier"]
 
 APPLY_SECONDS = 4.0
-"""Seconds in which a change must be in force, if settings name none."""
+"""Time limit for a change to be in force, unless the settings name one."""
 
-DENIAL_MARGIN = 1.0
-LEAST_DENIAL = 0.5
-"""Seconds by which a view must be younger than that to deny a route or a
-key, as an answer takes its time; and its least age to do so."""
+DENIAL_MARGIN_SECONDS = 1.0
+MIN_DENIAL_AGE_SECONDS = 0.5
+"""Margin by which a view must be younger than that time limit to deny a route
+or a key, as a response takes time to arrive; and the lowest age limit for
+doing so."""
 
-MARGIN = 0.2
-"""Seconds before the bound at which keys are not believed any more, for
-clocks that do not run quite alike."""
+CLOCK_MARGIN_SECONDS = 0.2
+"""Margin before the time limit at which keys are no longer accepted, for
+clocks that run at slightly different rates."""
 
-READ_EVERY = 0.9
-"""Age of the view, in seconds, at which the first host of a region reads
-the configuration anew."""
+FIRST_READ_AGE_SECONDS = 0.9
+"""Age of the view at which the first host of a region reads the configuration
+again."""
 
-ASK_SECOND_AFTER = 1.3
-"""Age of the view, in seconds, from which the second host is asked too."""
+ASK_SECOND_AGE_SECONDS = 1.3
+"""Age of the view from which the second host is asked as well."""
 
-READ_AFTER = 2.2
-"""Age of the view, in seconds, from which a host that gets no answer of
-others reads the configuration itself. It is soon enough to serve on without
-a break if the first host is gone, and no call is made for a lost answer."""
+FALLBACK_READ_AGE_SECONDS = 2.2
+"""Age of the view from which a host that gets no responses from others reads
+the configuration itself. This is soon enough to serve without a gap if the
+first host is gone, and late enough that a single lost response causes no
+call."""
 
-VERIFY_EVERY = 0.2
-"""Seconds between two rounds of questions for a caller that waits."""
+VERIFY_INTERVAL_SECONDS = 0.2
+"""Interval between two rounds of requests for a caller that waits."""
 
-VERIFY_TOGETHER = 1.0
-"""Seconds between rounds after which a new doubt begins."""
+VERIFY_BURST_SECONDS = 1.0
+"""Time without a round of requests after which the next round starts a new
+verification."""
 
-READING_TURN = 0.4
-"""Seconds by which the first host of a region waits longer to read the
-store than that of the region before it: a doubt often rises everywhere at
-once, and one reading serves all."""
+REGION_READ_DELAY_SECONDS = 0.4
+"""Time by which the first host of a region delays its read of the store
+relative to that of the previous region. A verification often starts in all
+regions at once, and one read serves them all."""
 
-LONGEST_TURN = 0.7
-"""Longest such wait, and that of hosts that are not first, in seconds."""
+MAX_READ_DELAY_SECONDS = 0.7
+"""Longest such delay, and the delay of hosts that are not the first one."""
 
-HURRY_EVERY = 0.1
-"""Seconds between two rounds of questions of a host that refuses."""
+REFRESH_INTERVAL_SECONDS = 0.1
+"""Interval between two rounds of requests of a host that refuses keys."""
 
 
 class ConfirmedView:
-    """The time at which this host's configuration was the newest for sure.
+    """The latest time at which the configuration was certainly the newest.
 
     Args:
-        clock: Callable that returns the seconds of a clock that also
-            counts while the host is suspended.
-        bound: Seconds in which a key that was taken away must be refused,
-            or `NOTHING` if there is no bound.
-        apply: Seconds in which a change must be in force.
+        clock: Callable that returns the seconds of a clock that also counts
+            while the host is suspended.
+        bound: Seconds within which a revoked key must be refused, or `NOTHING`
+            if there is no limit.
+        apply_seconds: Seconds within which a change must be in force.
     """
 
-    def __init__(self, clock, bound, apply=APPLY_SECONDS):
+    def __init__(self, clock, bound, apply_seconds=APPLY_SECONDS):
         self.clock = clock
-        self.denial_life = max(LEAST_DENIAL, apply - DENIAL_MARGIN)
-        self.life = NOTHING if bound is NOTHING else max(0.0, bound - MARGIN)
+        self.denial_max_age = max(
+            MIN_DENIAL_AGE_SECONDS, apply_seconds - DENIAL_MARGIN_SECONDS
+        )
+        self.max_age = (
+            NOTHING
+            if bound is NOTHING
+            else max(0.0, bound - CLOCK_MARGIN_SECONDS)
+        )
         self.confirmed_at = NOTHING
 
     def confirm(self, at):
-        """Note that the configuration was the newest at the time *at*.
+        """Record that the configuration was the newest at the time *at*.
 
-        That is the time before the question, not that of the answer: an
-        answer may have lain in a buffer while the host was suspended.
+        That is the time before the request was sent, not the time of its
+        response: a response may have stayed in a buffer while the host was
+        suspended.
         """
         if self.confirmed_at is NOTHING or at > self.confirmed_at:
             self.confirmed_at = at
 
     @property
     def age(self):
-        """Seconds since the configuration was the newest for sure."""
+        """Seconds since the configuration was certainly the newest."""
         if self.confirmed_at is NOTHING:
             return math.inf
         return self.clock() - self.confirmed_at
 
     @property
     def is_fresh(self):
-        """Whether keys may be believed."""
-        return self.life is NOTHING or self.age < self.life
+        """Whether keys may be accepted."""
+        return self.max_age is NOTHING or self.age < self.max_age
 
     @property
-    def denies(self):
-        """Whether what the configuration lacks may be taken not to exist.
+    def can_deny(self):
+        """Whether anything that the configuration lacks may be denied.
 
-        What was added a moment ago need not be in force yet; what was
-        added before must not be denied.
+        A recent addition need not be in force yet, but an earlier addition
+        must not be denied.
         """
-        return self.age < self.denial_life
+        return self.age < self.denial_max_age
 
 
-class ViewChecking:
-    """Keep the view of this host confirmed, at few calls to the store.
+class ViewVerifier:
+    """Keep the view of this host confirmed with few calls to the store.
 
-    The first host of a region reads the configuration each second. All
-    others ask it by datagram, twice a second; what they get bears the time
-    of their question, so a late answer is not taken for a fresh one. A host
-    that gets no answer reads by itself. Right after its start each takes
-    itself for the first, having heard nobody yet; its first listing of the
-    store confirms its view for longer than that.
+    The first host of a region reads the configuration each second. All others
+    ask it by datagram, twice a second. Each response carries the time of the
+    request, so a late response is not taken for a fresh one. A host that gets
+    no response reads the configuration itself. Right after its start no host
+    has received messages from others, and each would rank itself first; its
+    first listing of the store confirms its view for longer than that.
 
     Args:
         view: The `ConfirmedView`.
         keeper: The `ConfigurationKeeper`.
         members: The `Members`.
-        datagrams: The `Datagrams`.
+        datagrams: The `DatagramEndpoint`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        read: Called to read the configuration from the store.
-        far_hosts: Called for the hosts of other regions to ask.
+        read_configuration: Called to read the configuration from the store.
+        remote_hosts: Called for the hosts of other regions to ask.
     """
 
     def __init__(
@@ -134,8 +144,8 @@
         datagrams,
         clock,
         timeline,
-        read,
-        far_hosts,
+        read_configuration,
+        remote_hosts,
     ):
         self.view = view
         self.keeper = keeper
@@ -143,122 +153,128 @@
         self.datagrams = datagrams
         self.clock = clock
         self.timeline = timeline
-        self.read = read
-        self.far_hosts = far_hosts
-        self.hurried_at = -math.inf
-        self.doubt_since = -math.inf
+        self.read_configuration = read_configuration
+        self.remote_hosts = remote_hosts
+        self.refreshed_at = -math.inf
+        self.verifying_since = -math.inf
         self.verified_at = -math.inf
-        self.lost = False
+        self.expired = False
 
     @property
-    def needed(self):
+    def is_required(self):
         """Whether any request depends on the view."""
         current = self.keeper.current
-        if current is NOTHING or self.view.life is NOTHING:
+        if current is NOTHING or self.view.max_age is NOTHING:
             return False
         return bool(current.workspaces)
 
     def tick(self):
-        """Have the view confirmed if it is time."""
-        if not self.needed:
+        """Have the view confirmed if it is due."""
+        if not self.is_required:
             return
-        self.note_state()
+        self.record_state()
         own = self.members.own
         ranked = self.members.placers(self.clock.seconds())
-        heard = len(ranked) > 1 or own.up_seconds >= LEARNING
-        first = ranked[0] is own and heard
+        has_contact = (
+            len(ranked) > 1 or own.up_seconds >= STARTUP_DISCOVERY_SECONDS
+        )
+        first = ranked[0] is own and has_contact
         age = self.view.age
-        if age > (READ_EVERY if first else READ_AFTER):
-            self.read()
-        self.ask(ranked[0])
-        if age > ASK_SECOND_AFTER:
-            for member in ranked[1:2] + self.far_hosts():
-                self.ask(member)
-
-    def hurry(self):
-        """Have the view confirmed at once: a caller was just refused."""
+        if age > (
+            FIRST_READ_AGE_SECONDS if first else FALLBACK_READ_AGE_SECONDS
+        ):
+            self.read_configuration()
+        self.request_confirmation(ranked[0])
+        if age > ASK_SECOND_AGE_SECONDS:
+            for member in ranked[1:2] + self.remote_hosts():
+                self.request_confirmation(member)
+
+    def refresh(self):
+        """Have the view confirmed at once, after a caller was refused."""
         now = self.clock.seconds()
-        if now - self.hurried_at >= HURRY_EVERY:
-            self.hurried_at = now
+        if now - self.refreshed_at >= REFRESH_INTERVAL_SECONDS:
+            self.refreshed_at = now
             self.tick()
 
     @property
-    def doubted_for(self):
-        """Seconds for which callers have been in doubt; 0 if none is."""
+    def verifying_seconds(self):
+        """Duration of the current verification for callers; 0 without one."""
         now = self.clock.seconds()
-        if now - self.verified_at > VERIFY_TOGETHER:
+        if now - self.verified_at > VERIFY_BURST_SECONDS:
             return 0.0
-        return now - self.doubt_since
+        return now - self.verifying_since
 
     def verify(self):
-        """Have the view confirmed for a caller that waits; call often.
+        """Have the view confirmed for a caller that waits; call repeatedly.
 
-        Others may have a view that is young enough, and are asked first.
+        Other hosts may have a view that is young enough, and are asked first.
         """
         now = self.clock.seconds()
-        if now - self.verified_at < VERIFY_EVERY:
+        if now - self.verified_at < VERIFY_INTERVAL_SECONDS:
             return
-        if now - self.verified_at > VERIFY_TOGETHER:
-            self.doubt_since = now
+        if now - self.verified_at > VERIFY_BURST_SECONDS:
+            self.verifying_since = now
         self.verified_at = now
         ranked = self.members.placers(now)
         others = [one for one in ranked[:2] if one is not self.members.own]
-        others += self.far_hosts()
+        others += self.remote_hosts()
         for member in others:
-            self.ask(member)
-        if not others or now - self.doubt_since >= self.turn(ranked, now):
-            self.read()
-
-    def turn(self, ranked, now):
-        """Return the seconds of doubt after which this host reads."""
+            self.request_confirmation(member)
+        if not others or now - self.verifying_since >= self.read_delay(
+            ranked, now
+        ):
+            self.read_configuration()
+
+    def read_delay(self, ranked, now):
+        """Return the delay after which this host reads the store itself."""
         if ranked[0] is not self.members.own:
-            return LONGEST_TURN
+            return MAX_READ_DELAY_SECONDS
         own = self.members.own.region
-        place = sum(one < own for one in self.members.regions(now))
-        return min(LONGEST_TURN, place * READING_TURN)
+        rank = sum(one < own for one in self.members.regions(now))
+        return min(MAX_READ_DELAY_SECONDS, rank * REGION_READ_DELAY_SECONDS)
 
-    def note_state(self):
-        """Put it on the time line when keys are refused, or not any more."""
-        lost = not self.view.is_fresh
-        if lost == self.lost:
+    def record_state(self):
+        """Log when keys start or stop being refused."""
+        expired = not self.view.is_fresh
+        if expired == self.expired:
             return
-        self.lost = lost
+        self.expired = expired
         self.timeline.note(
-            EventKind.VIEW_LOST if lost else EventKind.VIEW_BACK,
+            EventKind.VIEW_LOST if expired else EventKind.VIEW_BACK,
             version=self.keeper.version,
             age=round(min(self.view.age, 1e6), 1),
         )
 
-    def ask(self, member):
-        """Ask another host how sure it is of its configuration."""
+    def request_confirmation(self, member):
+        """Ask another host for the age of its view."""
         if member is self.members.own:
             return
         stamp = math.floor(self.view.clock() * 1000)
-        question = ViewAsk(self.members.own.name, stamp)
-        self.datagrams.send(question, member.control)
+        request = ViewRequest(self.members.own.name, stamp)
+        self.datagrams.send(request, member.control)
 
-    def take_question(self, message):
-        """Tell another host how sure this one is."""
+    def handle_request(self, message):
+        """Send another host the age of this host's view."""
         member = self.members.others.get(message.host)
         if member is None or not self.view.is_fresh:
             return
         if self.view.confirmed_at is NOTHING:
             return
         age = math.ceil(self.view.age * 1000)
-        answer = ViewAnswer(message.stamp, age, self.keeper.version)
-        self.datagrams.send(answer, member.control)
+        response = ViewResponse(message.stamp, age, self.keeper.version)
+        self.datagrams.send(response, member.control)
         first = self.members.placers(self.clock.seconds())[0]
-        if first is self.members.own and not self.view.denies:
+        if first is self.members.own and not self.view.can_deny:
             self.verify()
 
-    def take_answer(self, message):
-        """Take over how sure another host is of the same configuration.
+    def handle_response(self, message):
+        """Apply the age of another host's view of the same configuration.
 
-        One that has a newer one confirms nothing here: that one is read
-        from it first.
+        A host with a newer configuration confirms nothing here; this host
+        reads that configuration first.
         """
         if self.keeper.version >= message.version:
             self.view.confirm((message.stamp - message.age_ms) / 1000)
-            self.note_state()
-        elif self.clock.seconds() - self.verified_at < VERIFY_TOGETHER:
-            self.read()
+            self.record_state()
+        elif self.clock.seconds() - self.verified_at < VERIFY_BURST_SECONDS:
+            self.read_configuration()
--- a/src/hyssopspring/traffic/crashes.py
+++ b/src/hyssopspring/traffic/crashes.py
@@ -1,15 +1,17 @@
-"""Requests under which servers end, and which of them are to blame.
-
-A request may end each server that begins to run it. It is sent on to other
-servers, its caller comes back with it to any host, and all that runs beside
-it is cut each time. So hosts remember under which requests servers have
-ended, tell each other, and send such a request to no server any more.
-
-Everything that was about to begin on a server that ends is suspected. Three
-things tell the cause from the rest: a request that was answered, or has run
-for a while, is not the cause; ends that a blocked request explains speak
-against no other; and a request under which two servers have ended so is
-run alone, apart from others like it, so that the next end shows which one.
+"""Requests that crash servers, and how the responsible request is found.
+
+A request may crash every server that starts to run it. It is retried at other
+servers, its caller repeats it at any host, and everything else that runs on
+the server is cut off each time. Hosts therefore record which requests were
+starting when servers crashed, share these records, and stop sending such a
+request to any server.
+
+Every request that was about to start on a server that crashes is a suspect.
+Three rules tell the cause from the others: a request that was answered, or has
+run for a while, is not the cause; a crash that a blocked request explains does
+not count against other requests; and a request with two unexplained crashes is
+run isolated from other suspects, so that the next crash shows which one is
+responsible.
 """
 
 import enum
@@ -19,61 +21,66 @@
 from ..core.hashing import hash_text
 from ..core.sentinels import NOTHING
 
-__all__ = ["Crashes", "End", "Suspect", "Verdict", "is_early"]
+__all__ = ["CrashTracker", "ServerCrash", "Suspect", "Verdict", "may_be_cause"]
 
-ENDS_TO_BLOCK = 3
-"""Ends of servers after which a request is blocked. Servers end for other
-reasons too, but seldom three just as the same request begins on them. Each
-more would cost a server for seconds, and all that it runs."""
+CRASHES_TO_BLOCK = 3
+"""Server crashes after which a request is blocked. Servers crash for other
+reasons too, but rarely three times just as the same request starts on them.
+Each further crash would cost a server for seconds, and all requests that it
+runs."""
 
-ENDS_TO_SEPARATE = 2
-"""Ends after which a request is run apart from others suspected."""
+CRASHES_TO_ISOLATE = 2
+"""Server crashes after which a request runs isolated from other suspects."""
 
-EXPLAINED_WEIGHT = 1
-"""What two ends or more that a blocked request explains count for, beside
-ends that none explains. What was only near that one meets no more ends; of
-two that end servers, the second would else cost three servers more."""
+EXPLAINED_CRASH_WEIGHT = 1
+"""Weight of two or more crashes that a blocked request explains, added to the
+crashes that none explains. A request that merely ran beside the blocked one
+meets no more crashes; of two requests that both crash servers, the second
+would otherwise crash three more servers."""
 
-EARLY = 0.5
-"""Seconds after the beginning of an answer in which an end of the server
-may still be due to the request. A request that ends servers does so as it
-begins; what has run for longer ended with its server."""
+EARLY_RESPONSE_SECONDS = 0.5
+"""Seconds after the start of a response within which the request may still be
+the cause of a server crash. A request that crashes servers does so as it
+starts; one that has run for longer was cut off by the crash."""
 
-EARLY_WAIT = 1.0
-"""Seconds besides the predicted time, for a request of which nothing had
-come: the wait at a busy server is longer than predicted now and then. What
-takes longer still speaks neither for nor against the request."""
+MAX_EXTRA_WAIT_SECONDS = 1.0
+"""Seconds beyond the predicted time within which a request without any
+response may be the cause: the wait at a busy server is sometimes longer than
+predicted. A crash after a longer wait counts neither for nor against the
+request."""
 
-SETTLE = 0.3
-"""Seconds after an end in which others may still tell of what ended with
-it: word from another region takes 0.1 s, and a lost one is repeated."""
+REPORT_DELAY_SECONDS = 0.3
+"""Seconds after a crash within which other hosts may still report requests
+that were affected: a message from another region takes 0.1 s, and a lost one
+is sent again."""
 
-KEPT = 600.0
-"""Seconds for which ends are remembered. A new version of the servers may
-run the request well; and the store gives no longer lease."""
+RETENTION_SECONDS = 600.0
+"""Seconds for which crashes are remembered. A new version of the servers may
+run the request without a crash, and the store grants no longer lease."""
 
-MOST_SUSPECTS = 2_000
-"""Requests that are remembered, about 1 MB. Those with the fewest and the
-oldest ends go first; they are the ones that were only near by."""
+MAX_SUSPECTS = 2_000
+"""Number of suspected requests kept in memory, about 1 MB. Those with the
+fewest and the oldest crashes are removed first, as they probably only ran
+beside the cause."""
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request."""
+    """How a request may be run."""
 
-    FREE = enum.auto()
-    ALONE = enum.auto()
-    HELD = enum.auto()
+    ALLOWED = enum.auto()
+    ISOLATED = enum.auto()
+    DEFERRED = enum.auto()
     BLOCKED = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """A server that ended as a request began on it.
+class ServerCrash:
+    """The crash of a server as a request started on it.
 
     Attributes:
-        server: The start of a server.
-        at: Time of its end.
-        host: Host that saw it.
+        server: Identifier of the server instance.
+        at: Time of the crash.
+        host: Host that detected it.
         caller: Address that the request came from.
     """
 
@@ -85,109 +92,109 @@
 
 @dataclass(slots=True, eq=False)
 class Suspect:
-    """A request under which servers have ended.
+    """A request that was starting when servers crashed.
 
     Attributes:
-        fingerprint: What its repeats have in common.
-        ends: `End` by server.
-        blocked: Whether it was found to be the cause.
-        cleared_at: Time at which it was last known to run well, or
-            `NOTHING`. Ends before do not count.
-        for_all: Whether every host must know it, and not only those that
-            sum up first ends. What was only near one server that ended is
-            of no interest to the others, nor that it ran well since.
+        fingerprint: Digest that all repeats of the request share.
+        crashes: `ServerCrash` by server instance.
+        blocked: Whether the request was found to be the cause.
+        cleared_at: Time at which the request was last known to run without a
+            crash, or `NOTHING`. Crashes up to that time do not count.
+        shared_with_all: Whether every host needs the record, and not only the
+            hosts that collect first crashes. For a request that was affected
+            by a single crash, neither the crash nor a later success matters to
+            the other hosts.
     """
 
     fingerprint: str
-    ends: dict = field(default_factory=dict)
+    crashes: dict = field(default_factory=dict)
     blocked: bool = False
     cleared_at: object = NOTHING
-    for_all: bool = False
+    shared_with_all: bool = False
 
     @property
-    def newest(self):
-        """Time of the last that is known of it."""
-        times = [end.at for end in self.ends.values()]
+    def last_event_at(self):
+        """Time of the latest crash or success."""
+        times = [crash.at for crash in self.crashes.values()]
         if self.cleared_at is not NOTHING:
             times.append(self.cleared_at)
         return max(times)
 
     @property
     def callers(self):
-        """Addresses that it came from when servers ended under it."""
-        return {end.caller for end in self.ends.values()}
+        """Addresses that sent the request when servers crashed."""
+        return {crash.caller for crash in self.crashes.values()}
 
     def is_blocked_for(self, caller):
-        """Whether it is refused to a caller.
+        """Whether the request, once blocked, is refused for a caller.
 
-        A caller comes from other addresses now and then. Whoever sends
-        the same from another one may be another caller, for whom it may
-        run well, and has one try; if a server ends under that as well, it
-        is the request, whoever sends it.
+        A caller's address changes now and then. The same request from another
+        address may come from another caller, for whom it may run without a
+        crash, so that caller gets one attempt. If a server crashes then as
+        well, the request itself is the cause and is refused for every caller.
         """
         return len(self.callers) > 1 or caller in self.callers
 
 
-def is_early(*, ran_for, predicted, headed, begun_for):
-    """Whether a request may be why its server ended.
+def may_be_cause(*, ran_for, predicted, head_received, response_age):
+    """Whether a request may be the cause of its server's crash.
 
-    A head without anything after it shows that the server had just begun,
-    however long the request had waited there.
+    A response head without a body shows that the server had just started to
+    run the request, however long the request had waited there.
 
     Args:
-        ran_for: Seconds since it was sent there.
-        predicted: Seconds in which it was to begin.
-        headed: Whether the head of its answer had come.
-        begun_for: Seconds since the first of its answer came, or
-            `NOTHING`.
+        ran_for: Seconds since the request was sent.
+        predicted: Predicted seconds until the start of the response.
+        head_received: Whether the head of the response was received.
+        response_age: Seconds since the first part of the response body
+            arrived, or `NOTHING`.
     """
-    if begun_for is not NOTHING:
-        return begun_for <= EARLY
-    return headed or ran_for <= predicted + EARLY_WAIT
+    if response_age is not NOTHING:
+        return response_age <= EARLY_RESPONSE_SECONDS
+    return head_received or ran_for <= predicted + MAX_EXTRA_WAIT_SECONDS
 
 
-class Crashes:
-    """All that this host knows of requests under which servers ended.
+class CrashTracker:
+    """The requests of this and other hosts that coincided with server crashes.
 
-    What is known only grows, by union, until it is forgotten by its age.
-    So word of it may be doubled, late or out of order.
+    Records are merged by set union and only grow until they expire, so reports
+    may be duplicated, late or out of order.
     """
 
     def __init__(self):
         self.suspects = {}
         self.by_server = {}
-        self.kept_digest = 0
+        self.cached_digest = 0
 
-    def note_end(self, fingerprint, end, now):
-        """Add one end of a server; return whether it is new."""
-        if now - end.at > KEPT:
+    def record_crash(self, fingerprint, crash, now):
+        """Add a crash to a request; return whether it is new."""
+        if now - crash.at > RETENTION_SECONDS:
             return False
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            suspect = self.add(Suspect(fingerprint))
-        if end.server in suspect.ends or is_cleared(suspect, end):
+            suspect = self.add_suspect(Suspect(fingerprint))
+        if crash.server in suspect.crashes or is_cleared(suspect, crash):
             return False
-        suspect.ends[end.server] = end
-        if len(suspect.ends) >= ENDS_TO_SEPARATE:
-            suspect.for_all = True
-        self.by_server.setdefault(end.server, set()).add(fingerprint)
-        self.kept_digest = NOTHING
-        self.bound()
+        suspect.crashes[crash.server] = crash
+        if len(suspect.crashes) >= CRASHES_TO_ISOLATE:
+            suspect.shared_with_all = True
+        self.by_server.setdefault(crash.server, set()).add(fingerprint)
+        self.cached_digest = NOTHING
+        self.evict_excess()
         return True
 
-    def add(self, suspect):
-        """Remember one more request."""
+    def add_suspect(self, suspect):
+        """Add a suspected request."""
         self.suspects[suspect.fingerprint] = suspect
         return suspect
 
-    def note_run(self, fingerprint, caller, now):
-        """Note that a request has run well; return whether it is news.
+    def record_success(self, fingerprint, caller, now):
+        """Record a run without a crash; return whether it changes anything.
 
-        Where it is blocked, another caller's says nothing of the first
-        one's.
+        If the request is blocked, a run for another caller does not clear it.
         """
         suspect = self.suspects.get(fingerprint)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.crashes:
             return False
         if suspect.blocked and caller not in suspect.callers:
             return False
@@ -195,107 +202,128 @@
         return True
 
     def clear(self, suspect, at):
-        """Forget the ends of a request up to the time *at*."""
+        """Remove the crashes of a request up to the time *at*."""
         if suspect.cleared_at is NOTHING or at > suspect.cleared_at:
             suspect.cleared_at = at
-        for end in list(suspect.ends.values()):
-            if end.at <= suspect.cleared_at:
-                self.remove_end(suspect, end.server)
-        suspect.blocked = suspect.blocked and bool(suspect.ends)
-
-    def remove_end(self, suspect, server):
-        """Take one end away from a request."""
-        del suspect.ends[server]
+        for crash in list(suspect.crashes.values()):
+            if crash.at <= suspect.cleared_at:
+                self.remove_crash(suspect, crash.server)
+        suspect.blocked = suspect.blocked and bool(suspect.crashes)
+
+    def remove_crash(self, suspect, server):
+        """Remove one crash from a request."""
+        del suspect.crashes[server]
         others = self.by_server.get(server, set())
         others.discard(suspect.fingerprint)
         if not others:
             self.by_server.pop(server, None)
-        self.kept_digest = NOTHING
+        self.cached_digest = NOTHING
 
-    def merge(self, told, now):
-        """Take over what another host knows of a request.
+    def merge(self, remote, now):
+        """Merge another host's record of a request.
 
         Args:
-            told: The `Suspect`, in times of this host.
+            remote: The `Suspect`, with times of this host's clock.
             now: The time.
 
         Returns:
-            Whether anything of it is news.
+            Whether it changed anything.
         """
         news = False
-        if told.cleared_at is not NOTHING and now - told.cleared_at <= KEPT:
-            news = self.merge_cleared(told)
-        for end in told.ends.values():
-            news = self.note_end(told.fingerprint, end, now) or news
-        suspect = self.suspects.get(told.fingerprint)
-        if told.blocked and suspect and suspect.ends and not suspect.blocked:
+        if (
+            remote.cleared_at is not NOTHING
+            and now - remote.cleared_at <= RETENTION_SECONDS
+        ):
+            news = self.merge_success(remote)
+        for crash in remote.crashes.values():
+            news = self.record_crash(remote.fingerprint, crash, now) or news
+        suspect = self.suspects.get(remote.fingerprint)
+        if (
+            remote.blocked
+            and suspect
+            and suspect.crashes
+            and not suspect.blocked
+        ):
             self.block(suspect)
             news = True
         return news
 
-    def merge_cleared(self, told):
-        """Take over that a request ran well; return whether it is news."""
-        suspect = self.suspects.get(told.fingerprint)
+    def merge_success(self, remote):
+        """Merge a reported success; return whether it changes anything."""
+        suspect = self.suspects.get(remote.fingerprint)
         if suspect is None:
             return False
         known = suspect.cleared_at
-        if known is not NOTHING and told.cleared_at <= known + SETTLE:
+        if (
+            known is not NOTHING
+            and remote.cleared_at <= known + REPORT_DELAY_SECONDS
+        ):
             return False
-        self.clear(suspect, told.cleared_at)
+        self.clear(suspect, remote.cleared_at)
         return True
 
     def block(self, suspect):
-        """Hold a request to be the cause of the ends under it."""
+        """Mark a request as the cause of its crashes."""
         suspect.blocked = True
-        suspect.for_all = True
-        self.kept_digest = NOTHING
+        suspect.shared_with_all = True
+        self.cached_digest = NOTHING
 
     def verdict(self, fingerprint, caller, now):
         """Return the `Verdict` on a request of a caller."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
-            return Verdict.FREE
+            return Verdict.ALLOWED
         found = Verdict.BLOCKED
         if not suspect.blocked:
-            found = self.verdict_on(suspect, now)
+            found = self.assess_unblocked(suspect, now)
         if found is Verdict.BLOCKED and not suspect.is_blocked_for(caller):
-            return Verdict.ALONE
+            return Verdict.ISOLATED
         return found
 
-    def verdict_on(self, suspect, now):
-        """Return the `Verdict` on one that is not held to be the cause."""
+    def assess_unblocked(self, suspect, now):
+        """Return the `Verdict` on a request that is not blocked."""
         own = self.unexplained(suspect)
         weight = len(own)
-        if own and len(suspect.ends) - len(own) >= ENDS_TO_SEPARATE:
-            weight += EXPLAINED_WEIGHT
-        if weight < ENDS_TO_SEPARATE:
-            return Verdict.FREE
-        if weight < ENDS_TO_BLOCK:
-            return Verdict.ALONE
-        if now - suspect.newest < SETTLE:
-            return Verdict.HELD
-        return Verdict.ALONE if self.rivals(suspect, own) else Verdict.BLOCKED
+        if own and len(suspect.crashes) - len(own) >= CRASHES_TO_ISOLATE:
+            weight += EXPLAINED_CRASH_WEIGHT
+        if weight < CRASHES_TO_ISOLATE:
+            return Verdict.ALLOWED
+        if weight < CRASHES_TO_BLOCK:
+            return Verdict.ISOLATED
+        if now - suspect.last_event_at < REPORT_DELAY_SECONDS:
+            return Verdict.DEFERRED
+        return (
+            Verdict.ISOLATED
+            if self.equally_suspect(suspect, own)
+            else Verdict.BLOCKED
+        )
 
     def unexplained(self, suspect):
-        """Return the ends of a request that no blocked one explains."""
-        return {server for server in suspect.ends if not self.blamed(server)}
-
-    def blamed(self, server):
-        """Whether a blocked request was at a server that ended."""
+        """Return the crashes of a request that no blocked request explains."""
+        return {
+            server
+            for server in suspect.crashes
+            if not self.has_blocked_request(server)
+        }
+
+    def has_blocked_request(self, server):
+        """Whether a blocked request was at a server that crashed."""
         return any(
             self.suspects[one].blocked
             for one in self.by_server.get(server, ())
         )
 
-    def rivals(self, suspect, servers):
-        """Return the other requests that may as well be the cause.
+    def equally_suspect(self, suspect, servers):
+        """Return the other requests that may equally be the cause.
 
-        These met as many ends, two of these among them. One that was only
-        near the cause falls behind at the next end, as both run apart.
+        These have at least as many unexplained crashes, and share two or more
+        with the given request. A request that merely ran beside the cause has
+        fewer from the next crash on, as both run isolated by then.
 
         Args:
             suspect: The `Suspect`.
-            servers: The servers that ended under it and no blocked one.
+            servers: The servers that crashed under it without a blocked
+                request.
         """
         shared = Counter(
             one
@@ -306,11 +334,11 @@
         return [
             one
             for one, count in shared.items()
-            if count >= ENDS_TO_SEPARATE
+            if count >= CRASHES_TO_ISOLATE
             and len(self.unexplained(self.suspects[one])) >= len(servers)
         ]
 
-    def judge(self, now):
+    def block_causes(self, now):
         """Block the requests that are now found to be the cause.
 
         Returns:
@@ -320,64 +348,65 @@
             (
                 suspect
                 for suspect in self.suspects.values()
-                if len(suspect.ends) >= ENDS_TO_BLOCK and not suspect.blocked
+                if len(suspect.crashes) >= CRASHES_TO_BLOCK
+                and not suspect.blocked
             ),
-            key=lambda one: (-len(one.ends), one.fingerprint),
+            key=lambda one: (-len(one.crashes), one.fingerprint),
         )
         found = []
         for suspect in most_first:
-            # A request blocked just before may explain the ends of the next.
-            if self.verdict_on(suspect, now) is Verdict.BLOCKED:
+            # The request blocked before may explain the crashes of this one.
+            if self.assess_unblocked(suspect, now) is Verdict.BLOCKED:
                 self.block(suspect)
                 found.append(suspect)
         return found
 
     def expire(self, now):
-        """Forget what is too old."""
+        """Remove records that are too old."""
         for suspect in list(self.suspects.values()):
-            if now - suspect.newest > KEPT:
+            if now - suspect.last_event_at > RETENTION_SECONDS:
                 self.forget(suspect)
 
     def forget(self, suspect):
-        """Forget one request."""
-        for server in list(suspect.ends):
-            self.remove_end(suspect, server)
+        """Remove a suspected request."""
+        for server in list(suspect.crashes):
+            self.remove_crash(suspect, server)
         self.suspects.pop(suspect.fingerprint, None)
 
-    def bound(self):
-        """Forget a tenth, the least suspect ones, if there are too many."""
-        if len(self.suspects) <= MOST_SUSPECTS:
+    def evict_excess(self):
+        """Remove a tenth, the least suspect ones, above `MAX_SUSPECTS`."""
+        if len(self.suspects) <= MAX_SUSPECTS:
             return
         least_first = sorted(
             self.suspects.values(),
-            key=lambda one: (one.blocked, len(one.ends), one.newest),
+            key=lambda one: (one.blocked, len(one.crashes), one.last_event_at),
         )
-        for suspect in least_first[: MOST_SUSPECTS // 10]:
+        for suspect in least_first[: MAX_SUSPECTS // 10]:
             self.forget(suspect)
 
-    def told_to_all(self):
-        """Return each `Suspect` that every host must know, newest first."""
-        found = [one for one in self.suspects.values() if one.for_all]
-        return sorted(found, key=lambda one: -one.newest)
+    def suspects_for_all(self):
+        """Return each `Suspect` that every host needs, newest first."""
+        found = [one for one in self.suspects.values() if one.shared_with_all]
+        return sorted(found, key=lambda one: -one.last_event_at)
 
     @property
     def digest(self):
-        """A number that is the same where the same is known.
+        """A number that is equal on hosts that hold the same records.
 
-        Only what every host must know counts; 0 stands for nothing.
+        Only records that every host needs count; 0 means that there are none.
         """
-        if self.kept_digest is NOTHING:
+        if self.cached_digest is NOTHING:
             rows = sorted(
-                (one.fingerprint, sorted(one.ends), one.blocked)
-                for one in self.told_to_all()
-                if one.ends
+                (one.fingerprint, sorted(one.crashes), one.blocked)
+                for one in self.suspects_for_all()
+                if one.crashes
             )
-            self.kept_digest = hash_text(repr(rows)) if rows else 0
-        return self.kept_digest
+            self.cached_digest = hash_text(repr(rows)) if rows else 0
+        return self.cached_digest
 
 
-def is_cleared(suspect, end):
-    """Whether a request ran well after an end."""
+def is_cleared(suspect, crash):
+    """Whether a request ran without a crash after the given crash."""
     if suspect.cleared_at is NOTHING:
         return False
-    return end.at <= suspect.cleared_at
+    return crash.at <= suspect.cleared_at
--- a/src/hyssopspring/traffic/decoding.py
+++ b/src/hyssopspring/traffic/decoding.py
@@ -1,130 +1,130 @@
-"""How long the engines of a service need for an output token, learned."""
+"""Times of the engines of a service for an output token, learned."""
 
 import math
 from dataclasses import dataclass, field
 
 from .work import RANKS
 
-__all__ = ["DecodingFigures", "Duty", "RankShares"]
+__all__ = ["DecodeTimes", "DutyCycle", "RankUtilization"]
 
-FIRST_IDLE = 0.006
-FIRST_BUSY = 0.035
-"""Seconds for an output token, to begin with, of an engine that reads no
-prompt meanwhile and of one that always does: a step of the batch, and a
-step with a chunk of a prompt, by the users' sheets."""
+INITIAL_IDLE_TOKEN_SECONDS = 0.006
+INITIAL_BUSY_TOKEN_SECONDS = 0.035
+"""Initial seconds for an output token on an engine that prefills nothing
+meanwhile, and on one that always does: a step of the batch, and a step with a
+chunk of a prompt, by the users' sheets."""
 
-TOKEN_RANGE = (0.001, 0.3)
-"""Bounds of an observed time of an output token. Callers ask for more
-tokens than come, so it may lie below the time of one step."""
+TOKEN_SECONDS_RANGE = (0.001, 0.3)
+"""Bounds of an observed time of an output token in seconds. Callers ask for
+more tokens than are produced, so it may lie below the time of one step."""
 
-LEARN = 0.05
-"""Weight of one observation; the number of tokens is a caller's estimate
-that may be off by half, so some dozen have to agree."""
+LEARNING_RATE = 0.05
+"""Weight of one observation. The number of tokens is a caller's estimate that
+may be wrong by half, so some dozen observations have to agree."""
 
-DUTY_SECONDS = 3.0
-"""Seconds over which the part of the time with reading is averaged: about
-the length of a stream."""
+DUTY_CYCLE_SECONDS = 3.0
+"""Seconds over which the fraction of time in prefill is averaged, which is
+about the length of a stream."""
 
 
 @dataclass(slots=True, eq=False)
-class DecodingFigures:
+class DecodeTimes:
     """Seconds for an output token, for one service.
 
-    Each step of an engine makes one token of every running request, and a
-    step in which a chunk of a prompt is read takes six times as long. So
-    the time grows with the part of the time in which the engine reads.
+    Each step of an engine produces one token of every running request, and a
+    step in which a chunk of a prompt is prefilled takes six times as long. So
+    the time for a token grows with the fraction of time in prefill.
 
     Attributes:
-        idle: Seconds for a token of an engine that reads nothing.
-        busy: Seconds for a token of one that always reads.
+        idle: Seconds for a token on an engine that prefills nothing.
+        busy: Seconds for a token on an engine that always prefills.
     """
 
-    idle: float = FIRST_IDLE
-    busy: float = FIRST_BUSY
+    idle: float = INITIAL_IDLE_TOKEN_SECONDS
+    busy: float = INITIAL_BUSY_TOKEN_SECONDS
 
     def seconds(self, duty):
-        """Return the seconds for a token at a part *duty* of reading."""
+        """Return the seconds for a token at a fraction *duty* of prefill."""
         return self.idle + (self.busy - self.idle) * duty
 
-    def learn(self, duty, met):
-        """Learn from a request that took *met* seconds for each token."""
-        low, high = TOKEN_RANGE
-        error = min(high, max(low, met)) - self.seconds(duty)
-        self.idle = max(low, self.idle + LEARN * (1.0 - duty) * error)
-        self.busy = max(self.idle, self.busy + LEARN * duty * error)
+    def learn(self, duty, observed):
+        """Learn from a request that took *observed* seconds for each token."""
+        low, high = TOKEN_SECONDS_RANGE
+        error = min(high, max(low, observed)) - self.seconds(duty)
+        self.idle = max(low, self.idle + LEARNING_RATE * (1.0 - duty) * error)
+        self.busy = max(self.idle, self.busy + LEARNING_RATE * duty * error)
 
 
-MOST_OVERTAKEN = 0.6
-"""Largest part of the time that more urgent prompts are taken to need in
-what is to come; beyond it a less urgent one is refused in any case."""
+MAX_OVERTAKING_FRACTION = 0.6
+"""Maximum fraction of time that more urgent prompts are assumed to need in the
+future. Beyond it a less urgent prompt is refused in any case."""
 
 
 @dataclass(slots=True, eq=False)
-class RankShares:
-    """The parts of an engine's time that prompts of each rank have taken.
+class RankUtilization:
+    """Fractions of an engine's time used by the prompts of each rank.
 
     Attributes:
-        recent: The part by rank.
-        at: Time of the last change.
+        recent: The fraction by rank.
+        updated_at: Time of the last change.
     """
 
     recent: list = field(default_factory=lambda: [0.0] * RANKS)
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def note(self, rank, seconds, now):
-        """Note that a prompt of *rank* was read in *seconds*."""
-        kept = math.exp(-max(0.0, now - self.at) / DUTY_SECONDS)
-        self.recent = [part * kept for part in self.recent]
-        self.recent[rank] += seconds / DUTY_SECONDS
-        self.at = now
+    def add(self, rank, seconds, now):
+        """Record that a prompt of *rank* was prefilled in *seconds*."""
+        decay = math.exp(-max(0.0, now - self.updated_at) / DUTY_CYCLE_SECONDS)
+        self.recent = [fraction * decay for fraction in self.recent]
+        self.recent[rank] += seconds / DUTY_CYCLE_SECONDS
+        self.updated_at = now
 
-    def stretch(self, rank, now):
-        """Return by what a wait grows as more urgent prompts come.
+    def slowdown(self, rank, now):
+        """Return the factor by which more urgent prompts extend a wait.
 
-        Who waits is overtaken by those that come later and are more
-        urgent; without that, prompts of the lowest rank are begun late
-        although predicted in time.
+        A waiting prompt is overtaken by more urgent ones that arrive later.
+        Without this factor, prompts of the lowest rank start late although
+        they were predicted to be on time.
         """
-        kept = math.exp(-max(0.0, now - self.at) / DUTY_SECONDS)
-        taken = sum(self.recent[:rank]) * kept
-        return 1.0 / (1.0 - min(MOST_OVERTAKEN, taken))
+        decay = math.exp(-max(0.0, now - self.updated_at) / DUTY_CYCLE_SECONDS)
+        used = sum(self.recent[:rank]) * decay
+        return 1.0 / (1.0 - min(MAX_OVERTAKING_FRACTION, used))
 
 
 @dataclass(slots=True, eq=False)
-class Duty:
-    """The part of its time in which one engine reads prompts.
+class DutyCycle:
+    """Fraction of its time in which one engine prefills prompts.
 
     Attributes:
-        reading: Whether it reads now.
-        since: Time up to which the rest is counted.
-        recent: The part over the last seconds.
-        total: Seconds of reading in all.
+        prefilling: Whether it prefills now.
+        updated_at: Time up to which the other values are updated.
+        recent: The fraction over the last seconds.
+        total: Total seconds of prefill.
     """
 
-    reading: bool = False
-    since: float = 0.0
+    prefilling: bool = False
+    updated_at: float = 0.0
     recent: float = 0.0
     total: float = 0.0
 
-    def note(self, reading, now):
-        """Note whether the engine reads from now on."""
+    def set_prefilling(self, prefilling, now):
+        """Record whether the engine prefills from now on."""
         self.advance(now)
-        self.reading = reading
+        self.prefilling = prefilling
 
     def advance(self, now):
-        """Count the time up to now."""
-        passed = max(0.0, now - self.since)
-        kept = math.exp(-passed / DUTY_SECONDS)
-        self.recent = self.recent * kept + (1.0 - kept) * self.reading
-        self.total += passed * self.reading
-        self.since = max(now, self.since)
+        """Update the values up to *now*."""
+        elapsed = max(0.0, now - self.updated_at)
+        decay = math.exp(-elapsed / DUTY_CYCLE_SECONDS)
+        self.recent = self.recent * decay + (1.0 - decay) * self.prefilling
+        self.total += elapsed * self.prefilling
+        self.updated_at = max(now, self.updated_at)
 
-    def ahead(self, backlog, seconds):
-        """Return the part expected in the next *seconds*.
+    def expected(self, backlog, seconds):
+        """Return the fraction expected in the next *seconds*.
 
         Args:
-            backlog: Seconds of reading that wait already.
-            seconds: Length of the time that is asked for.
+            backlog: Seconds of prefill that already wait.
+            seconds: Length of the time span.
         """
-        sure = min(1.0, backlog / max(seconds, 1e-3))
-        return sure + (1.0 - sure) * self.recent
+        certain = min(1.0, backlog / max(seconds, 1e-3))
+        return certain + (1.0 - certain) * self.recent
--- a/src/hyssopspring/traffic/enginework.py
+++ b/src/hyssopspring/traffic/enginework.py
@@ -1,227 +1,251 @@
-"""The model of a model server: what it reads next, and what it keeps."""
+"""The model of an inference engine: its prefill queue and its cache."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 from ..core.sentinels import NOTHING
-from .decoding import DUTY_SECONDS, DecodingFigures, Duty, RankShares
+from .decoding import (
+    DUTY_CYCLE_SECONDS,
+    DecodeTimes,
+    DutyCycle,
+    RankUtilization,
+)
 from .mechanisms import Mechanism
-from .queues import ReadingQueue
-from .reading import ReadingFigures, pairs_of
+from .prefill import PrefillTimes, attention_pairs
+from .prefillqueue import PrefillQueue
 from .routes import EngineSpec
 from .work import (
+    PREFILL_COST_FACTOR,
     RANKS,
-    READING_COST,
-    Assessment,
-    answering,
-    crowding,
+    Estimate,
+    answer_cost,
+    occupancy_cost,
     rank_of,
 )
 
 __all__ = ["EngineWork"]
 
-LEAST_LEFT = 0.08
-"""Seconds that a request needs still when it is past its expected end."""
+MIN_REMAINING_SECONDS = 0.08
+"""Seconds that a request is assumed to need after its expected end has
+passed."""
 
-MEMORY_USED = 0.93
-"""Part of an engine's memory that is filled; requests grow while they
-run, and an engine whose memory runs out drops requests midway."""
+USABLE_MEMORY_FRACTION = 0.93
+"""Fraction of an engine's memory that is filled. Requests grow while they run,
+and an engine that runs out of memory preempts requests midway."""
 
-LEARN = 0.12
+LEARNING_RATE = 0.12
 """Weight of one observation in moving averages."""
 
-PACE_RANGE = (0.5, 8.0)
-"""Bounds of `pace`; slower servers than eightfold are passed over anyway."""
+PREFILL_SLOWDOWN_RANGE = (0.5, 8.0)
+"""Bounds of `prefill_slowdown`. Servers that are slower than eightfold are not
+chosen in any case."""
 
-PACE_FADE = 8.0
-"""Seconds in which a pace returns to normal without new evidence, so that
-a server that was slow once gets work again."""
+PREFILL_SLOWDOWN_DECAY_SECONDS = 8.0
+"""Seconds in which a prefill slowdown returns to normal without new evidence,
+so that a server that was slow once gets requests again."""
 
-LEAST_LEARNED = 0.04
-"""Seconds of expected reading from which a first event tells of pace."""
+MIN_LEARNED_PREFILL_SECONDS = 0.04
+"""Minimum expected prefill time in seconds of a prompt whose first event is
+used to learn the slowdown."""
 
 STEP_SECONDS = 0.04
-"""Seconds of a step with a chunk of a prompt. Which of the prompts that
-come within one step is read first, cannot be told."""
+"""Seconds of an engine step with a chunk of a prompt. The order in which
+prompts that arrive within one step are prefilled cannot be predicted."""
 
-OVERDUE = 0.5
-"""Part of the time by which the prompt that is read now is overdue that
-it is taken to need still: an engine that stalls shows no other sign."""
+OVERDUE_FRACTION = 0.5
+"""Fraction of its overdue time that the prompt in prefill is assumed to need
+still. An engine that stalls gives no other sign."""
 
-DRAG_RANGE = (0.5, 8.0)
-"""Bounds of `drag`, as those of `pace`."""
+DECODE_SLOWDOWN_RANGE = (0.5, 8.0)
+"""Bounds of `decode_slowdown`, the same as for `prefill_slowdown`."""
 
-LEAST_COPIED = 1024
-"""Tokens below which nothing is copied from another server: one chunk,
-which is read in 30 ms."""
+MIN_COPIED_TOKENS = 1024
+"""Minimum number of tokens that are copied from another server: one chunk,
+which is prefilled in 30 ms."""
 
-COPY_BEGIN = 0.02
-"""Seconds in which a copy begins, and waits for others at the same link;
-6,300 tokens of 160 KB each take 15 ms more at 550 Gbit/s."""
+COPY_SETUP_SECONDS = 0.02
+"""Seconds in which a copy starts and waits for others on the same link. 6,300
+tokens of 160 KB each take 15 ms more at 550 Gbit/s."""
 
 
 @dataclass(slots=True, eq=False)
 class EngineWork:
-    """Work in progress at a model server, and what it has cached.
-
-    An engine reads one prompt after another between the decoding steps
-    of its batch. It takes the most urgent one that waits, the oldest of
-    these, and reads it to its end; one that comes meanwhile waits, however
-    urgent. So the time to a first event is the rest of the prompt that is
-    read now, the reading of all that are as urgent, and then of the
-    prompt's own parts that are not cached. Met less predicted times of
-    5,288 prompts: 9 in 10 below 0.12 s, against 0.26 s if all that are
-    less urgent are taken to stand back at once.
+    """Work in progress at an inference engine, and its cached parts.
+
+    An engine prefills one prompt after another between the decoding steps of
+    its batch. It takes the most urgent waiting prompt, the oldest one among
+    equals, and prefills it to its end. A prompt that arrives meanwhile waits,
+    however urgent it is. So the time to a first event is the rest of the
+    prompt in prefill, the prefill of all prompts that are at least as urgent,
+    and then of the prompt's own parts that are not cached. For 9 in
+    10 of 5,288 prompts, the observed time exceeds the predicted one by less
+    than 0.12 s, against 0.26 s if all less urgent prompts are assumed to yield
+    at once.
 
     Attributes:
         spec: The `EngineSpec`.
-        figures: `ReadingFigures` of the service.
-        decoding: `DecodingFigures` of the service.
-        off: Each `Mechanism` that is switched off.
-        tickets: `Ticket` by host and number.
-        queue: `ReadingQueue` of those whose prompts are to be read.
-        held: Tokens of memory that all take.
+        prefill_times: `PrefillTimes` of the service.
+        decode_times: `DecodeTimes` of the service.
+        disabled: Each `Mechanism` that is disabled.
+        placements: `Placement` by host and number.
+        queue: `PrefillQueue` of the prompts whose prefill has not ended.
+        held_tokens: Tokens of memory that all placements take.
         cached: Tokens by part, the least recently used first.
-        cached_tokens: Their sum.
-        crowded: Seconds by which its load makes it worse, see `crowding`.
-        pace: Observed time of reading over the predicted one.
-        paced_at: Time of the last observation.
-        head: `Ticket` whose prompt is read now, or `NOTHING`.
-        head_since: Time since when it is read.
-        duty: `Duty` of its reading.
-        shares: `RankShares` of its reading.
-        drag: Observed time of an output token over the expected one.
+        cached_tokens: Sum of the cached tokens.
+        crowding_cost: Seconds that the load adds to the cost, see
+            `occupancy_cost`.
+        prefill_slowdown: Observed prefill time over the predicted one.
+        prefill_slowdown_at: Time of the last observation.
+        active_prefill: `Placement` whose prompt is in prefill, or `NOTHING`.
+        active_prefill_since: Time at which that prefill started.
+        duty_cycle: `DutyCycle` of its prefill.
+        rank_utilization: `RankUtilization` of its prefill.
+        decode_slowdown: Observed time of an output token over the expected
+            one.
     """
 
     spec: EngineSpec
-    figures: ReadingFigures
-    decoding: DecodingFigures
-    off: frozenset = frozenset()
-    tickets: dict = field(default_factory=dict)
-    queue: ReadingQueue = field(default_factory=ReadingQueue)
-    held: int = 0
+    prefill_times: PrefillTimes
+    decode_times: DecodeTimes
+    disabled: frozenset = frozenset()
+    placements: dict = field(default_factory=dict)
+    queue: PrefillQueue = field(default_factory=PrefillQueue)
+    held_tokens: int = 0
     cached: OrderedDict = field(default_factory=OrderedDict)
     cached_tokens: int = 0
-    crowded: float = 0.0
-    pace: float = 1.0
-    paced_at: float = 0.0
-    head: object = NOTHING
-    head_since: float = 0.0
-    duty: Duty = field(default_factory=Duty)
-    shares: RankShares = field(default_factory=RankShares)
-    drag: float = 1.0
+    crowding_cost: float = 0.0
+    prefill_slowdown: float = 1.0
+    prefill_slowdown_at: float = 0.0
+    active_prefill: object = NOTHING
+    active_prefill_since: float = 0.0
+    duty_cycle: DutyCycle = field(default_factory=DutyCycle)
+    rank_utilization: RankUtilization = field(default_factory=RankUtilization)
+    decode_slowdown: float = 1.0
 
     @property
     def slots(self):
-        """Requests that run at once."""
+        """Maximum number of concurrent requests."""
         return max(1, self.spec.slots)
 
     @property
     def memory(self):
-        """Tokens that running requests and cached parts share."""
+        """Tokens of memory, shared by running requests and cached parts."""
         return max(1, self.spec.memory_tokens)
 
     def is_for(self, engine):
-        """Whether the model fits a service with this `EngineSpec`."""
+        """Return whether the model fits a service with this `EngineSpec`."""
         return self.spec is engine or self.spec == engine
 
-    def known_tokens(self, demand):
-        """Return the tokens of the prompt that are cached here."""
-        known = 0
+    def cached_prefix_tokens(self, demand):
+        """Return the tokens of the prompt's prefix that are cached here."""
+        cached_prefix = 0
         for part, tokens in demand.parts:
             if part not in self.cached:
                 break
-            known += tokens
-        return known
+            cached_prefix += tokens
+        return cached_prefix
 
-    def copied_tokens(self, demand, elsewhere):
+    def copied_tokens(self, demand, most_cached):
         """Return the tokens that are worth copying from another server.
 
         Args:
             demand: The `Demand`.
-            elsewhere: Tokens of the prompt that the other has cached.
+            most_cached: Tokens of the prompt that the other server has cached.
         """
-        return self.worth_copying(elsewhere - self.known_tokens(demand))
+        return self.worth_copying(
+            most_cached - self.cached_prefix_tokens(demand)
+        )
 
-    def worth_copying(self, more):
-        """Return *more* tokens if it pays to copy so many, or 0."""
-        if not self.spec.copy_seconds or more < LEAST_COPIED:
+    def worth_copying(self, tokens):
+        """Return *tokens* if a copy of so many pays off, or 0."""
+        if not self.spec.copy_seconds or tokens < MIN_COPIED_TOKENS:
             return 0
-        return more
+        return tokens
 
-    def fresh_tokens(self, demand, copied=0):
-        """Return the tokens of the prompt that must be read here."""
-        known = self.known_tokens(demand) + copied
-        return max(1, demand.tokens_in - known)
+    def uncached_tokens(self, demand, copied=0):
+        """Return the tokens of the prompt that must be prefilled here."""
+        cached_prefix = self.cached_prefix_tokens(demand) + copied
+        return max(1, demand.tokens_in - cached_prefix)
 
-    def current_pace(self, now):
-        """Return the pace, which fades to normal without evidence."""
-        age = now - self.paced_at
-        if age >= PACE_FADE:
+    def current_prefill_slowdown(self, now):
+        """Return the slowdown, which decays to normal without evidence."""
+        age = now - self.prefill_slowdown_at
+        if age >= PREFILL_SLOWDOWN_DECAY_SECONDS:
             return 1.0
-        kept = 1.0 - max(0.0, age) / PACE_FADE
-        return 1.0 + (self.pace - 1.0) * kept
+        weight = 1.0 - max(0.0, age) / PREFILL_SLOWDOWN_DECAY_SECONDS
+        return 1.0 + (self.prefill_slowdown - 1.0) * weight
 
-    def ahead(self, urgency, now):
-        """Return the seconds of reading before a request of *urgency*."""
-        head = self.head
-        if head is NOTHING:
+    def prefill_wait(self, urgency, now):
+        """Return the seconds of prefill before a request of *urgency*."""
+        active_prefill = self.active_prefill
+        if active_prefill is NOTHING:
             return 0.0
-        others = self.queue.seconds_until(urgency)
-        if head.urgency <= urgency:
-            others = max(0.0, others - head.reading)
-        wait = others * self.current_pace(now)
-        if Mechanism.HEAD not in self.off or head.urgency <= urgency:
-            wait += self.head_left(now)
-        if Mechanism.OVERTAKING in self.off:
+        others = self.queue.seconds_up_to(urgency)
+        if active_prefill.urgency <= urgency:
+            others = max(0.0, others - active_prefill.prefill_seconds)
+        wait = others * self.current_prefill_slowdown(now)
+        if (
+            Mechanism.HEAD not in self.disabled
+            or active_prefill.urgency <= urgency
+        ):
+            wait += self.active_prefill_remaining(now)
+        if Mechanism.OVERTAKING in self.disabled:
             return wait
-        return wait * self.shares.stretch(rank_of(urgency), now)
-
-    def head_left(self, now):
-        """Return the seconds for which the prompt at the head is read."""
-        passed = now - self.head_since
-        left = self.head.reading * self.current_pace(now) - passed
-        return max(left, -left * OVERDUE)
+        return wait * self.rank_utilization.slowdown(rank_of(urgency), now)
+
+    def active_prefill_remaining(self, now):
+        """Return the remaining seconds of the prompt in prefill."""
+        elapsed = now - self.active_prefill_since
+        remaining = (
+            self.active_prefill.prefill_seconds
+            * self.current_prefill_slowdown(now)
+            - elapsed
+        )
+        return max(remaining, -remaining * OVERDUE_FRACTION)
 
     def slot_wait(self, tokens, now):
         """Return the seconds until a slot and memory are free.
 
-        When memory runs out an engine drops the newest of its requests
-        in the middle of their streams and reads them in again: callers
-        see streams stand still. So a request waits for the ends of as
-        many others as its slot and its memory need.
+        An engine that runs out of memory preempts its newest requests in the
+        middle of their streams and prefills them again, and callers see their
+        streams stall. So a request waits until as many others have ended as
+        its slot and its memory need.
         """
-        slots = len(self.tickets) + 1 - self.slots
-        memory = self.held + tokens - self.memory * MEMORY_USED
+        slots = len(self.placements) + 1 - self.slots
+        memory = (
+            self.held_tokens + tokens - self.memory * USABLE_MEMORY_FRACTION
+        )
         if slots <= 0 and memory <= 0:
             return 0.0
         seconds = 0.0
         token = self.token_time(now)
         ends = [
-            (seconds_left(ticket, token, now), ticket.tokens)
-            for ticket in self.tickets.values()
+            (remaining_seconds(placement, token, now), placement.tokens)
+            for placement in self.placements.values()
         ]
         if slots <= 1 and memory <= 0:
             return min(ends)[0]
-        for left, freed in sorted(ends):
-            seconds = left
+        for remaining, freed in sorted(ends):
+            seconds = remaining
             slots -= 1
             memory -= freed
             if slots <= 0 and memory <= 0:
                 break
         return seconds
 
-    def alone(self, demand, fresh):
-        """Return the seconds to a first event of an engine that is idle.
+    def idle_seconds(self, demand, uncached):
+        """Return the seconds to a first event on an idle engine.
 
         Args:
             demand: The `Demand`.
-            fresh: Tokens of the prompt that it must read.
+            uncached: Tokens of the prompt that it must prefill.
         """
-        return self.figures.seconds(fresh, pairs_of(demand.tokens_in, fresh))
+        return self.prefill_times.seconds(
+            uncached, attention_pairs(demand.tokens_in, uncached)
+        )
 
     def predict(self, demand, urgency, now, copied=0):
-        """Return the seconds until the first event would come.
+        """Return the predicted seconds until the first event.
 
         Args:
             demand: The `Demand`.
@@ -229,108 +253,119 @@
             now: The time.
             copied: Tokens that are copied from another server first.
         """
-        own = self.own_reading(demand, now, copied)
+        own = self.own_prefill(demand, now, copied)
         return self.wait(demand, urgency, now) + self.copy_time(copied) + own
 
     def wait(self, demand, urgency, now):
-        """Return the seconds until the engine begins with a request."""
+        """Return the seconds until the engine starts a request."""
         tokens = demand.tokens_in + demand.tokens_out
-        return self.ahead(urgency, now) + self.slot_wait(tokens, now)
+        return self.prefill_wait(urgency, now) + self.slot_wait(tokens, now)
 
-    def own_reading(self, demand, now, copied):
-        """Return the seconds of reading that a request would bring."""
-        fresh = self.fresh_tokens(demand, copied)
-        return self.alone(demand, fresh) * self.current_pace(now)
+    def own_prefill(self, demand, now, copied):
+        """Return the seconds of prefill that a request would add."""
+        uncached = self.uncached_tokens(demand, copied)
+        return self.idle_seconds(
+            demand, uncached
+        ) * self.current_prefill_slowdown(now)
 
     def copy_time(self, copied):
         """Return the seconds that a copy of cached tokens takes."""
         if not copied:
             return 0.0
-        return COPY_BEGIN + copied * self.spec.copy_seconds
+        return COPY_SETUP_SECONDS + copied * self.spec.copy_seconds
 
     def cost(self, demand, urgency, now, copied=0):
-        """Return the seconds that count in a comparison of servers."""
-        own = self.own_reading(demand, now, copied)
+        """Return the cost in seconds for the comparison of servers."""
+        own = self.own_prefill(demand, now, copied)
         wait = self.wait(demand, urgency, now)
         predicted = wait + self.copy_time(copied) + own
         return self.cost_of(demand, now, own, predicted)
 
     def cost_of(self, demand, now, own, predicted):
-        """Return the cost of a request of which more is known.
+        """Return the cost of a request whose prediction is given.
 
         Args:
             demand: The `Demand`.
             now: The time.
-            own: Seconds of reading that it brings.
+            own: Seconds of prefill that it adds.
             predicted: Seconds until its first event.
         """
-        cost = predicted + own * READING_COST + self.crowded
-        if Mechanism.ANSWERS in self.off:
+        cost = predicted + own * PREFILL_COST_FACTOR + self.crowding_cost
+        if Mechanism.ANSWERS in self.disabled:
             return cost
-        return cost + answering(
+        return cost + answer_cost(
             demand.tokens_out,
             self.token_time(now, predicted),
             demand.answer_within - predicted,
         )
 
-    def assess(self, inquiry, known, limit):
-        """Return what the engine would do for a request.
+    def estimate(self, request, cached_prefix, limit):
+        """Return the estimate of the engine for a request.
 
-        The same as `cost` and `predict`, each part worked out once and
-        only as far as the engine may still be the best: among 35 engines
-        a choice takes a third of the time that it took by those.
+        The result equals that of `cost` and `predict`. Each part is computed
+        once, and only while the engine may still be the best one: among 35
+        engines this takes a third of the time of calling those two methods.
 
         Args:
-            inquiry: The `Inquiry`.
-            known: Tokens of the prompt that are cached here.
-            limit: Cost from which on the engine is of no interest.
+            request: The `EstimateRequest`.
+            cached_prefix: Tokens of the prompt that are cached here.
+            limit: Cost from which on the engine is not considered.
 
         Returns:
-            An `Assessment`, or `NOTHING` if its cost exceeds *limit*.
+            An `Estimate`, or `NOTHING` if its cost exceeds *limit*.
         """
-        demand, now = inquiry.demand, inquiry.now
-        copied = self.worth_copying(inquiry.elsewhere - known)
-        fresh = max(1, demand.tokens_in - known - copied)
-        alone = inquiry.readings.get(fresh)
-        if alone is None:
-            alone = inquiry.readings[fresh] = self.alone(demand, fresh)
-        own = alone * self.current_pace(now)
-        least = own * (1.0 + READING_COST) + self.crowded
+        demand, now = request.demand, request.now
+        copied = self.worth_copying(request.most_cached - cached_prefix)
+        uncached = max(1, demand.tokens_in - cached_prefix - copied)
+        idle_seconds = request.idle_seconds_by_tokens.get(uncached)
+        if idle_seconds is None:
+            idle_seconds = request.idle_seconds_by_tokens[uncached] = (
+                self.idle_seconds(demand, uncached)
+            )
+        own = idle_seconds * self.current_prefill_slowdown(now)
+        least = own * (1.0 + PREFILL_COST_FACTOR) + self.crowding_cost
         if least > limit:
             return NOTHING
-        ahead = self.ahead(inquiry.urgency, now)
-        if least + ahead > limit:
+        prefill_wait = self.prefill_wait(request.urgency, now)
+        if least + prefill_wait > limit:
             return NOTHING
         tokens = demand.tokens_in + demand.tokens_out
-        wait = ahead + self.slot_wait(tokens, now)
+        wait = prefill_wait + self.slot_wait(tokens, now)
         predicted = wait + self.copy_time(copied) + own
         cost = self.cost_of(demand, now, own, predicted)
-        return Assessment(predicted, cost, copied)
+        return Estimate(predicted, cost, copied)
 
     def token_time(self, now, backlog=0.0):
-        """Return the seconds for an output token in the next seconds.
+        """Return the predicted seconds for an output token.
+
+        The prediction holds for the next `DUTY_CYCLE_SECONDS`.
 
         Args:
             now: The time.
-            backlog: Seconds of reading that wait already.
+            backlog: Seconds of prefill that already wait.
         """
-        self.duty.advance(now)
-        duty = self.duty.ahead(backlog, DUTY_SECONDS)
-        return self.decoding.seconds(duty) * self.drag
-
-    def begin(self, ticket, demand):
-        """Count a placed request; its parts will be cached."""
-        pairs = pairs_of(ticket.tokens_in, ticket.fresh_tokens)
-        ticket.reading = self.figures.seconds(ticket.fresh_tokens, pairs)
-        self.tickets[ticket.host, ticket.number] = ticket
-        if ticket.waiting:
-            self.queue.add(ticket)
-        if self.head is NOTHING and ticket.waiting:
-            ticket.alone = self.reads_all(ticket, demand)
-            self.head, self.head_since = ticket, ticket.placed_at
-            self.duty.note(True, ticket.placed_at)
-        self.held += ticket.tokens
-        self.crowded = crowding(self.used())
+        self.duty_cycle.advance(now)
+        duty = self.duty_cycle.expected(backlog, DUTY_CYCLE_SECONDS)
+        return self.decode_times.seconds(duty) * self.decode_slowdown
+
+    def begin(self, placement, demand):
+        """Add the placement of a request, whose parts will be cached."""
+        pairs = attention_pairs(placement.tokens_in, placement.uncached_tokens)
+        placement.prefill_seconds = self.prefill_times.seconds(
+            placement.uncached_tokens, pairs
+        )
+        self.placements[placement.host, placement.number] = placement
+        if placement.waiting:
+            self.queue.add(placement)
+        if self.active_prefill is NOTHING and placement.waiting:
+            placement.found_idle = self.prefills_alone(placement, demand)
+            self.active_prefill, self.active_prefill_since = (
+                placement,
+                placement.placed_at,
+            )
+            self.duty_cycle.set_prefilling(True, placement.placed_at)
+        self.held_tokens += placement.tokens
+        self.crowding_cost = occupancy_cost(self.occupancy())
         if demand is NOTHING:
             return
         for part, tokens in demand.parts:
@@ -339,122 +374,150 @@
             self.cached.move_to_end(part)
         self.trim()
 
-    def reads_all(self, ticket, demand):
-        """Whether the server copies nothing before it reads a prompt."""
+    def prefills_alone(self, placement, demand):
+        """Return whether the server copies nothing before the prefill."""
         if demand is NOTHING:
             return False
-        return ticket.fresh_tokens == self.fresh_tokens(demand)
+        return placement.uncached_tokens == self.uncached_tokens(demand)
 
     def trim(self):
-        """Forget the parts that the engine has dropped by now."""
-        room = max(0, self.memory - self.held)
-        while self.cached and self.cached_tokens > room:
+        """Remove the parts that the engine has evicted by now."""
+        free_tokens = max(0, self.memory - self.held_tokens)
+        while self.cached and self.cached_tokens > free_tokens:
             self.cached_tokens -= self.cached.popitem(last=False)[1]
 
-    def start(self, ticket, seconds, now):
+    def start(self, placement, seconds, now):
         """Learn from a first event that came after *seconds*."""
-        was_head = ticket is self.head
-        self.shares.note(rank_of(ticket.urgency), ticket.reading, now)
-        read = seconds if ticket.alone else now - self.head_since
-        self.mark_started(ticket, now)
-        if not was_head:
+        was_active = placement is self.active_prefill
+        self.rank_utilization.add(
+            rank_of(placement.urgency), placement.prefill_seconds, now
+        )
+        prefill_seconds = (
+            seconds
+            if placement.found_idle
+            else now - self.active_prefill_since
+        )
+        self.mark_started(placement, now)
+        if not was_active:
             return
-        learns = Mechanism.FIGURES not in self.off
-        if learns and ticket.alone and ticket.fresh_tokens > 1:
-            pairs = pairs_of(ticket.tokens_in, ticket.fresh_tokens)
-            self.figures.learn(ticket.fresh_tokens, pairs, seconds)
-        self.learn_pace(ticket.reading, read, now)
-
-    def mark_started(self, ticket, now):
-        """Note that a prompt is read, and which one is read next.
-
-        A prompt that came after the one at the head and began before it
-        shows that the latter was read: its answer is lost. It would else
-        stand before all others until its caller leaves.
+        learns = Mechanism.FIGURES not in self.disabled
+        if learns and placement.found_idle and placement.uncached_tokens > 1:
+            pairs = attention_pairs(
+                placement.tokens_in, placement.uncached_tokens
+            )
+            self.prefill_times.learn(placement.uncached_tokens, pairs, seconds)
+        self.learn_prefill_slowdown(
+            placement.prefill_seconds, prefill_seconds, now
+        )
+
+    def mark_started(self, placement, now):
+        """Record the end of a prefill, and choose the next prompt.
+
+        If a prompt that arrived after the one in prefill starts before it, the
+        latter must have been prefilled and its answer was lost. If it were
+        kept, it would block all others in the model until its caller
+        disconnects.
         """
-        head, since = self.head, self.head_since
-        self.queue.remove(ticket)
-        ticket.started = True
-        ticket.started_at = now
-        self.duty.advance(now)
-        ticket.read_before = self.duty.total
-        if head is NOTHING:
+        active_prefill, since = self.active_prefill, self.active_prefill_since
+        self.queue.remove(placement)
+        placement.started = True
+        placement.started_at = now
+        self.duty_cycle.advance(now)
+        placement.prefill_seconds_at_start = self.duty_cycle.total
+        if active_prefill is NOTHING:
             return
-        if ticket is not head and ticket.placed_at > since + STEP_SECONDS:
-            self.queue.remove(head)
-            head.lost = True
-        self.read_next(now)
-
-    def read_next(self, now):
-        """Choose the prompt that the engine reads from now on."""
-        self.head = self.queue.first()
-        self.head_since = now
-        self.duty.note(self.head is not NOTHING, now)
-
-    def learn_pace(self, expected, met, now):
-        """Learn from a prompt that was read in *met* seconds."""
-        if expected < LEAST_LEARNED:
+        if (
+            placement is not active_prefill
+            and placement.placed_at > since + STEP_SECONDS
+        ):
+            self.queue.remove(active_prefill)
+            active_prefill.lost = True
+        self.start_next_prefill(now)
+
+    def start_next_prefill(self, now):
+        """Choose the prompt that the engine prefills from now on."""
+        self.active_prefill = self.queue.first()
+        self.active_prefill_since = now
+        self.duty_cycle.set_prefilling(self.active_prefill is not NOTHING, now)
+
+    def learn_prefill_slowdown(self, expected, observed, now):
+        """Learn from a prompt that was prefilled in *observed* seconds."""
+        if expected < MIN_LEARNED_PREFILL_SECONDS:
             return
-        low, high = PACE_RANGE
-        ratio = min(high, max(low, met / expected))
-        pace = self.current_pace(now)
-        self.pace = pace + (ratio - pace) * LEARN
-        self.paced_at = now
+        low, high = PREFILL_SLOWDOWN_RANGE
+        ratio = min(high, max(low, observed / expected))
+        prefill_slowdown = self.current_prefill_slowdown(now)
+        self.prefill_slowdown = (
+            prefill_slowdown + (ratio - prefill_slowdown) * LEARNING_RATE
+        )
+        self.prefill_slowdown_at = now
 
-    def end(self, ticket, now, *, whole=False):
-        """Count the end of a request, and learn from a whole one.
+    def end(self, placement, now, *, complete=False):
+        """Remove a placement, and learn from a complete answer.
 
         Args:
-            ticket: The `Ticket`.
+            placement: The `Placement`.
             now: The time.
-            whole: Whether its answer has come to its end.
+            complete: Whether its answer is complete.
         """
-        known = self.tickets.pop((ticket.host, ticket.number), None)
-        if known is not None:
-            self.held -= known.tokens
-            self.queue.remove(known)
-            self.crowded = crowding(self.used())
-        if known is not None and known is self.head:
-            self.read_next(now)
-        if not whole or not ticket.started or not ticket.tokens_out:
+        removed = self.placements.pop((placement.host, placement.number), None)
+        if removed is not None:
+            self.held_tokens -= removed.tokens
+            self.queue.remove(removed)
+            self.crowding_cost = occupancy_cost(self.occupancy())
+        if removed is not None and removed is self.active_prefill:
+            self.start_next_prefill(now)
+        if not complete or not placement.started or not placement.tokens_out:
             return
-        self.learn_token(ticket, now)
+        self.learn_token(placement, now)
 
-    def learn_token(self, ticket, now):
-        """Learn the time of a token from an answer that is whole."""
-        seconds = now - ticket.started_at
+    def learn_token(self, placement, now):
+        """Learn the time of an output token from a complete answer."""
+        seconds = now - placement.started_at
         if seconds <= 0:
             return
-        self.duty.advance(now)
-        duty = min(1.0, (self.duty.total - ticket.read_before) / seconds)
-        met = seconds / ticket.tokens_out
-        low, high = DRAG_RANGE
-        drag = min(high, max(low, met / self.decoding.seconds(duty)))
-        self.drag += (drag - self.drag) * LEARN
-        self.decoding.learn(duty, met)
+        self.duty_cycle.advance(now)
+        duty = min(
+            1.0,
+            (self.duty_cycle.total - placement.prefill_seconds_at_start)
+            / seconds,
+        )
+        observed = seconds / placement.tokens_out
+        low, high = DECODE_SLOWDOWN_RANGE
+        decode_slowdown = min(
+            high, max(low, observed / self.decode_times.seconds(duty))
+        )
+        self.decode_slowdown += (
+            decode_slowdown - self.decode_slowdown
+        ) * LEARNING_RATE
+        self.decode_times.learn(duty, observed)
 
     def waits(self, now):
         """Return the seconds that a new request waits, by its rank."""
         slot = self.slot_wait(1000, now)
         return tuple(
-            self.ahead(2 + 2 * rank, now) + slot for rank in range(RANKS)
+            self.prefill_wait(2 + 2 * rank, now) + slot
+            for rank in range(RANKS)
         )
 
-    def used(self):
-        """Return the part of the slots, or of the memory, that is taken."""
-        memory = self.held / (self.memory * MEMORY_USED)
-        return max(len(self.tickets) / self.slots, memory)
+    def occupancy(self):
+        """Return the used fraction of the slots or of the memory.
+
+        The larger one of the two counts.
+        """
+        memory = self.held_tokens / (self.memory * USABLE_MEMORY_FRACTION)
+        return max(len(self.placements) / self.slots, memory)
 
 
-def seconds_left(ticket, token_seconds, now):
+def remaining_seconds(placement, token_seconds, now):
     """Return the seconds until a request should end.
 
     Args:
-        ticket: Its `Ticket`.
-        token_seconds: Seconds that its server needs for a token.
+        placement: Its `Placement`.
+        token_seconds: Seconds that its server needs for an output token.
         now: The time.
     """
-    whole = ticket.tokens_out * token_seconds
-    if not ticket.started:
-        return whole + ticket.predicted
-    return max(LEAST_LEFT, whole - (now - ticket.started_at))
+    complete = placement.tokens_out * token_seconds
+    if not placement.started:
+        return complete + placement.predicted
+    return max(MIN_REMAINING_SECONDS, complete - (now - placement.started_at))
