--- a/src/hyssopspring/traffic/regions.py
+++ b/src/hyssopspring/traffic/regions.py
@@ -1,78 +1,92 @@
-"""What the servers of other regions can take, as this region believes."""
+"""Estimated capacity of the servers of other regions."""
 
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
 from ..core.hashing import short_id
 from ..core.sentinels import NOTHING
-from .work import RANKS, READING_COST, Demand, answering, crowding
-
-__all__ = ["Brought", "FarLoad", "RegionLoad", "Room", "CachedParts"]
-
-REPORT_LAG = 0.17
-"""Seconds by which a report lags behind what was sent: a request needs 80
-ms to reach the other region, and so does the report that counts it."""
-
-UNTOLD_USED = 0.5
-"""Part of its places that a server is taken to have in use in a region
-that is heard but has not told its load."""
-
-REMEMBERED = 8.0
-"""Seconds for which a part is taken to be cached where it was sent; an
-engine under load keeps its prompts for about that long."""
-
-TOLD_FOR = 0.7
-"""Seconds for which a part that was read is told to other regions: in three
-reports, of which two may be lost."""
-
-LEAST_TOLD = 1024
-"""Tokens from which a part is told; less is read in a step or two."""
-
-MOST_TOLD_PARTS = 64
-"""Parts that one report names at most, the newest: 320 bytes. A region with
-a hundred prompts a second would name 70 of them."""
-
-MOST_PARTS = 4096
-"""Parts of prompts that are remembered for one region."""
+from .work import (
+    PREFILL_COST_FACTOR,
+    RANKS,
+    Demand,
+    answer_cost,
+    occupancy_cost,
+)
+
+__all__ = [
+    "AddedWork",
+    "RemoteLoad",
+    "RegionLoad",
+    "ServerCapacity",
+    "CachedParts",
+]
+
+REPORT_LAG_SECONDS = 0.17
+"""Seconds by which a report lags behind the requests that were sent. A
+request needs 80 ms to reach the other region, and so does the report that
+counts it."""
+
+UNREPORTED_OCCUPANCY = 0.5
+"""Assumed occupancy of a server in a region from which hosts are seen but no
+load report has been received."""
+
+CACHED_PART_TTL_SECONDS = 8.0
+"""Seconds for which a part of a prompt is assumed to be cached where it was
+sent. An engine under load keeps its prompts for about that long."""
+
+PART_REPORT_SECONDS = 0.7
+"""Seconds for which a part that was prefilled is reported to other regions.
+This covers three reports, of which two may be lost."""
+
+MIN_REPORTED_TOKENS = 1024
+"""Minimum size in tokens of a part that is reported. A smaller part is
+prefilled in one or two engine steps."""
+
+MAX_REPORTED_PARTS = 64
+"""Maximum number of parts in one report, the newest ones first. They take 320
+bytes; a region with a hundred prompts a second would name 70."""
+
+MAX_CACHED_PARTS = 4096
+"""Maximum number of parts of prompts that are stored for one region."""
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
-    """Room at one server of another region.
+class ServerCapacity:
+    """Capacity of one server of another region.
 
     Attributes:
         waits: Seconds that a new request would wait, by its rank.
-        used: Part of its slots or memory in use; may exceed 1.
+        occupancy: Fraction of its slots or memory in use; may exceed 1.
         token_seconds: Seconds that it needs for an output token.
-        spare: Requests that its limit lets through now, or `NOTHING` if it
-            has none.
+        spare: Requests that its limit allows now, or `NOTHING` if it has none.
     """
 
     waits: tuple
-    used: float
+    occupancy: float
     token_seconds: float = 0.0
     spare: object = NOTHING
 
 
 @dataclass(frozen=True, slots=True)
 class RegionLoad:
-    """What a region says of one service.
+    """Reported load of one service in a region.
 
     Attributes:
-        slots: Requests that one server runs at once.
-        rooms: `Room` of the servers that take requests, the best first.
-        read: Short names of parts of prompts that its servers have read
-            of late.
+        slots: Requests that one server runs concurrently.
+        capacities: `ServerCapacity` of the servers that accept requests, the
+            best first.
+        prefilled_parts: Short names of the parts of prompts that its servers
+            have prefilled recently.
     """
 
     slots: int
-    rooms: tuple
-    read: tuple = ()
+    capacities: tuple
+    prefilled_parts: tuple = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Brought:
-    """What a request brings to a server.
+class AddedWork:
+    """Work that a request adds to a server.
 
     Attributes:
         seconds: Seconds of work before its first event.
@@ -86,153 +100,164 @@
 
 
 @dataclass(slots=True, eq=False)
-class Believed:
-    """Room at one server, with what was sent there since the report."""
+class EstimatedServer:
+    """Capacity of one server, with what was sent to it since the report."""
 
     waits: list
-    used: float
+    occupancy: float
     token_seconds: float
     spare: object = NOTHING
 
     @property
     def is_open(self):
-        """Whether it takes one more request."""
+        """Whether the server accepts one more request."""
         return self.spare is NOTHING or self.spare > 0
 
-    def begun(self, brought):
-        """Return the seconds until a request would begin."""
-        return self.waits[brought.rank] + brought.seconds
+    def seconds_to_start(self, added):
+        """Return the seconds until the first event of a request."""
+        return self.waits[added.rank] + added.seconds
 
-    def cost(self, brought):
-        """Return the seconds that count in a comparison."""
-        begun = self.begun(brought)
-        answer = answering(
-            brought.demand.tokens_out,
+    def cost(self, added):
+        """Return the cost in seconds for the comparison of servers."""
+        seconds_to_start = self.seconds_to_start(added)
+        answer_seconds = answer_cost(
+            added.demand.tokens_out,
             self.token_seconds,
-            brought.demand.answer_within - begun,
+            added.demand.answer_within - seconds_to_start,
+        )
+        prefill_cost = added.seconds * PREFILL_COST_FACTOR
+        return (
+            seconds_to_start
+            + prefill_cost
+            + occupancy_cost(self.occupancy)
+            + answer_seconds
         )
-        again = brought.seconds * READING_COST
-        return begun + again + crowding(self.used) + answer
-
-    def add(self, brought, slots):
-        """Count a request that was sent there."""
-        for rank in range(brought.rank, RANKS):
-            self.waits[rank] += brought.seconds
-        self.used += 1.0 / slots
+
+    def add(self, added, slots):
+        """Count a request that was sent to the server."""
+        for rank in range(added.rank, RANKS):
+            self.waits[rank] += added.seconds
+        self.occupancy += 1.0 / slots
         if self.spare is not NOTHING:
             self.spare -= 1
 
-    def pass_time(self, seconds):
-        """Let time pass, in which waiting work is done."""
+    def advance(self, seconds):
+        """Reduce the waits by *seconds*, in which waiting work is done."""
         waits = self.waits
         for rank, wait in enumerate(waits):
             waits[rank] = wait - seconds if wait > seconds else 0.0
 
 
 @dataclass(slots=True, eq=False)
-class FarLoad:
-    """One service of another region, between its reports.
+class RemoteLoad:
+    """Load of one service of another region, tracked between its reports.
 
-    A report is as old as the way between regions is long. Without a count
-    of what was sent in the meantime, all requests until the next report
-    would go to the region that looked best in the last one; with a count
-    for the region as a whole, its best server would seem to fill alone
-    while the others stay idle. So each server is counted by itself.
+    A report is as old as the one-way latency between the regions. If requests
+    sent in the meantime were not counted, all requests until the next report
+    would go to the region that was best in the last one. If they were counted
+    for the region as a whole, its best server would appear to fill up while
+    the others stay idle. So requests are counted for each server.
 
     Attributes:
-        slots: Requests that one server runs at once.
-        servers: `Believed` of each server.
-        at: Time up to which waits have run down.
-        sent: Time and `Brought` of what was sent of late.
+        slots: Requests that one server runs concurrently.
+        servers: `EstimatedServer` of each server.
+        updated_at: Time up to which the waits are reduced.
+        sent: Time and `AddedWork` of each recently sent request.
     """
 
     slots: int = 1
     servers: list = field(default_factory=list)
-    at: float = 0.0
+    updated_at: float = 0.0
     sent: deque = field(default_factory=deque)
 
-    def take(self, load, now):
-        """Take over a report, and count what it cannot know of."""
+    def apply_report(self, load, now):
+        """Apply a report, and add the requests that it cannot include yet."""
         self.slots = max(1, load.slots)
         self.servers = [
-            Believed(
-                list(room.waits), room.used, room.token_seconds, room.spare
+            EstimatedServer(
+                list(capacity.waits),
+                capacity.occupancy,
+                capacity.token_seconds,
+                capacity.spare,
             )
-            for room in load.rooms
+            for capacity in load.capacities
         ]
-        self.at = now
-        while self.sent and now - self.sent[0][0] > REPORT_LAG:
+        self.updated_at = now
+        while self.sent and now - self.sent[0][0] > REPORT_LAG_SECONDS:
             self.sent.popleft()
-        for _, brought in self.sent:
-            self.add(brought)
+        for _, added in self.sent:
+            self.add(added)
 
-    def best(self, brought, now):
-        """Return the `Believed` server that would answer first.
+    def best(self, added, now):
+        """Return the `EstimatedServer` with the lowest cost.
 
         Args:
-            brought: What the request brings.
+            added: Work that the request adds.
             now: The time.
         """
-        passed = max(0.0, now - self.at)
-        self.at = max(self.at, now)
-        if passed:
+        elapsed = max(0.0, now - self.updated_at)
+        self.updated_at = max(self.updated_at, now)
+        if elapsed:
             for server in self.servers:
-                server.pass_time(passed)
-        return min(self.open_servers(), key=lambda one: one.cost(brought))
+                server.advance(elapsed)
+        return min(self.open_servers(), key=lambda one: one.cost(added))
 
     def open_servers(self):
-        """Return the `Believed` servers that take one more request."""
+        """Return the servers that accept one more request."""
         return [server for server in self.servers if server.is_open]
 
-    def count(self, brought, now):
-        """Count a request that is sent there now."""
-        self.sent.append((now, brought))
-        self.add(brought)
+    def count(self, added, now):
+        """Count a request that is sent to the region now."""
+        self.sent.append((now, added))
+        self.add(added)
 
-    def add(self, brought):
-        """Put work on the server that would take it."""
+    def add(self, added):
+        """Add work to the server with the lowest cost."""
         servers = self.open_servers()
         if servers:
-            server = min(servers, key=lambda one: one.cost(brought))
-            server.add(brought, self.slots)
+            server = min(servers, key=lambda one: one.cost(added))
+            server.add(added, self.slots)
 
 
 class CachedParts:
-    """Parts of prompts that the servers of one region have read of late.
+    """Parts of prompts that the servers of one region have recently cached.
 
-    The region tells those that it has read, and what was sent there counts
-    at once. The next prompt with the same parts is answered sooner there
-    than in a region that would read them again; each reading of a subject
-    of 5,000 tokens takes 0.1 s of an engine from all who wait there.
+    The region reports the parts that it has prefilled, and parts of requests
+    that are sent there count at once. The next prompt with the same parts is
+    answered sooner in that region than in one that would prefill them again:
+    prefilling a subject of 5,000 tokens takes 0.1 s of an engine's time from
+    all requests that wait there.
     """
 
     def __init__(self):
         self.times = OrderedDict()
 
-    def note(self, parts, now):
-        """Note that *parts* are sent there."""
-        self.note_names([short_id(part) for part, _ in parts], now)
+    def add_parts(self, parts, now):
+        """Record *parts* that are sent to the region."""
+        self.add_names([short_id(part) for part, _ in parts], now)
 
-    def note_names(self, names, now):
-        """Note parts that were read there, by their short names."""
+    def add_names(self, names, now):
+        """Record parts that were prefilled in the region, by short name."""
         for name in names:
             self.times[name] = now
             self.times.move_to_end(name)
-        while len(self.times) > MOST_PARTS:
+        while len(self.times) > MAX_CACHED_PARTS:
             self.times.popitem(last=False)
 
-    def fresh_tokens(self, demand, now):
-        """Return the tokens of a prompt that must be read there."""
-        known = 0
+    def uncached_tokens(self, demand, now):
+        """Return the tokens of a prompt that must be prefilled there."""
+        cached = 0
         for part, tokens in demand.parts:
-            at = self.times.get(short_id(part), -REMEMBERED)
-            if now - at >= REMEMBERED:
+            cached_at = self.times.get(
+                short_id(part), -CACHED_PART_TTL_SECONDS
+            )
+            if now - cached_at >= CACHED_PART_TTL_SECONDS:
                 break
-            known += tokens
-        return max(1, demand.tokens_in - known)
+            cached += tokens
+        return max(1, demand.tokens_in - cached)
 
 
-def untold(slots, servers):
-    """Return the `RegionLoad` of a region that has told nothing."""
-    room = Room((0.0,) * RANKS, UNTOLD_USED)
-    return RegionLoad(slots, (room,) * servers)
+def unreported_load(slots, servers):
+    """Return the `RegionLoad` of a region that has sent no report."""
+    capacity = ServerCapacity((0.0,) * RANKS, UNREPORTED_OCCUPANCY)
+    return RegionLoad(slots, (capacity,) * servers)
--- a/src/hyssopspring/traffic/retries.py
+++ b/src/hyssopspring/traffic/retries.py
@@ -1,65 +1,65 @@
-"""A budget of repeated attempts, kept without asking other hosts."""
+"""A budget of retries that holds over all hosts without messages."""
 
 from collections import deque
 
-__all__ = ["RetryWindow"]
+__all__ = ["WindowedRetryBudget"]
 
-USED_RATIO = 0.75
-"""Part of the allowed ratio that is used; the rest covers requests that
-are counted by another clock than ours."""
+RATIO_FRACTION = 0.75
+"""Fraction of the allowed ratio that is used; the rest covers requests that
+fall into another window by the clock of whoever counts them."""
 
-USED_EXTRA = 0.7
-"""Part of the allowed extra attempts that all hosts share out."""
+EXTRA_FRACTION = 0.7
+"""Fraction of the allowed extra retries that is divided among all hosts."""
 
 
-class RetryWindow:
-    """Allow repeats as a share of the requests of a sliding window.
+class WindowedRetryBudget:
+    """Allow retries as a share of the requests of a sliding window.
 
-    When most attempts fail, each host that repeats multiplies the load
-    and the servers never recover. Each host keeps to the ratio of its own
-    requests and to its part of the extra ones, so the sum over all hosts
-    keeps to the whole without a message between them.
+    When most attempts fail, each host that retries multiplies the load and the
+    servers never recover. Each host keeps to the ratio for its own requests
+    and to its part of the extra retries, so the sum over all hosts keeps to
+    the total without messages between them.
 
     Args:
-        ratio: Repeats allowed for each request.
-        extra: Repeats allowed besides, over all hosts.
-        window: Seconds of the window.
+        ratio: Retries allowed for each request.
+        extra: Retries allowed in addition, over all hosts.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio, extra, window):
-        self.ratio = ratio * USED_RATIO
-        self.extra = extra * USED_EXTRA
+        self.ratio = ratio * RATIO_FRACTION
+        self.extra = extra * EXTRA_FRACTION
         self.window = window
-        self.first = {}
+        self.requests = {}
         self.repeats = {}
 
-    def note_request(self, service, now):
+    def record_request(self, service, now):
         """Count a request of a caller."""
-        self.first.setdefault(service, deque()).append(now)
-        self.trim(self.first[service], now)
+        self.requests.setdefault(service, deque()).append(now)
+        self.trim(self.requests[service], now)
 
     def spend(self, service, now, hosts):
-        """Take one repeat.
+        """Use one retry of the budget.
 
         Args:
             service: The service.
             now: The time.
-            hosts: Number of hosts that share the extra repeats.
+            hosts: Number of hosts that share the extra retries.
 
         Returns:
-            Whether there was one to take.
+            Whether the budget allowed it.
         """
-        first = self.first.setdefault(service, deque())
+        requests = self.requests.setdefault(service, deque())
         repeats = self.repeats.setdefault(service, deque())
-        self.trim(first, now)
+        self.trim(requests, now)
         self.trim(repeats, now)
-        allowed = self.ratio * len(first) + self.extra / max(1, hosts)
+        allowed = self.ratio * len(requests) + self.extra / max(1, hosts)
         if len(repeats) + 1 > allowed:
             return False
         repeats.append(now)
         return True
 
     def trim(self, times, now):
-        """Drop the times that have left the window."""
+        """Remove the times that are older than the window."""
         while times and now - times[0] > self.window:
             times.popleft()
--- a/src/hyssopspring/traffic/servers.py
+++ b/src/hyssopspring/traffic/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers as the registry names them, and who may be used."""
+"""Backend servers listed in the registry, and which of them may be used."""
 
 import enum
 from dataclasses import dataclass, replace
@@ -8,23 +8,24 @@
 
 __all__ = ["LeavingNotice", "Registry", "Server", "ServerEntry", "Usability"]
 
-COLD_MARGIN = 0.7
-"""Seconds by which a cold phase is taken to last longer than told, for
-the age of the entry and the way of a request to the server."""
+COLD_MARGIN_SECONDS = 0.7
+"""Seconds added to the cold phase that an entry states. They cover the age of
+the entry and the time that a request takes to reach the server."""
 
-ABSENT_GRACE = 2.2
-"""Seconds for which servers that vanished while the registry could not be
-read are still used after its return; registrations are back within two
-seconds, and a server that left serves for several more."""
+ABSENCE_GRACE_SECONDS = 2.2
+"""Seconds for which servers that vanished while the registry was unreachable
+are still used after its return. Servers register again within two seconds, and
+a server that shut down meanwhile serves for several more."""
 
 
-LEAVING_KEPT = 30.0
-"""Seconds for which a server that said that it leaves is remembered beyond
-its entry. The entry may lapse and come back, without a word on that."""
+LEAVING_NOTICE_RETENTION_SECONDS = 30.0
+"""Seconds for which a server that announced its shutdown is remembered after
+its entry is gone. The entry may lapse and come back without the leaving
+flag."""
 
 
 class Usability(enum.Enum):
-    """Whether a server may get requests."""
+    """Whether requests may be sent to a server."""
 
     READY = enum.auto()
     COLD = enum.auto()
@@ -37,14 +38,15 @@
 
     Attributes:
         id: Identifier of the server.
-        born: Unix time of its start in milliseconds; 0 if not told.
+        born: Unix time of its start in milliseconds; 0 if not given.
         service: Service that it offers.
         address: ``ip:port``.
-        data_centre: Where it stands.
-        slots: Requests that it runs at once.
-        leaving: Whether it is about to go.
-        cold_left: Seconds for which it stays cold, as of the entry.
-        gone_in: Seconds until it is gone without fail, or `NOTHING`.
+        data_centre: Data centre that it runs in.
+        slots: Number of requests that it runs concurrently.
+        leaving: Whether it is draining before its shutdown.
+        cold_left: Seconds for which it stays cold, counted from the entry.
+        terminates_in: Seconds until it is terminated at the latest, or
+            `NOTHING`.
     """
 
     id: str
@@ -55,24 +57,24 @@
     born: int = 0
     leaving: bool = False
     cold_left: float = 0.0
-    gone_in: object = NOTHING
+    terminates_in: object = NOTHING
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeavingNotice:
-    """An answer of a server said that it leaves.
+    """A server's announcement, in a response, that it is draining.
 
     Attributes:
         server_id: The server.
-        start: Name of its start.
-        at: Time at which it was heard.
-        host: Host that heard it.
-        request: Request to which it was the answer.
-        address: Its ``ip:port``.
+        instance_id: Identifier of the server instance.
+        at: Time at which the response was received.
+        host: Host that received it.
+        request: Request to which it was the response.
+        address: The ``ip:port`` of the server.
     """
 
     server_id: str
-    start: str
+    instance_id: str
     address: str
     at: float
     host: str = ""
@@ -81,31 +83,33 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server and what this host believes of it.
+    """A server and its state as recorded on this host.
 
     Attributes:
         entry: The newest `ServerEntry`.
         region: Region of its data centre.
         cold_until: Time until which it counts as cold.
-        absent_since: Time since when the registry lacks it, or `NOTHING`.
-        gone_at: Time at which it is gone without fail, or `NOTHING`.
+        absent_since: Time since which the registry does not list it, or
+            `NOTHING`.
+        terminates_at: Time at which it is terminated at the latest, or
+            `NOTHING`.
     """
 
     entry: ServerEntry
     region: str
     cold_until: float = 0.0
     absent_since: object = NOTHING
-    gone_at: object = NOTHING
+    terminates_at: object = NOTHING
 
     def usability(self, now):
-        """Return its `Usability` at *now*, evacuations aside."""
+        """Return its `Usability` at *now*, ignoring evacuations."""
         if self.entry.leaving:
             return Usability.LEAVING
         return Usability.COLD if now < self.cold_until else Usability.READY
 
 
 class Registry:
-    """All servers that this host knows.
+    """All servers that this host has received entries of.
 
     Args:
         regions: Region by data centre.
@@ -116,56 +120,60 @@
         self.servers = {}
         self.evacuated = set()
         self.removed = set()
-        self.groups = {}
-        self.left = {}
-        self.left_digest = 0
+        self.candidate_cache = {}
+        self.leaving_notices = {}
+        self.leaving_digest = 0
 
     def put(self, entry, now):
-        """Take over an entry of the registry.
+        """Apply an entry of the registry.
 
-        A server may start again under its identifier. It then knows and
-        holds nothing of before, so what is believed of the former one,
-        its leaving too, does not hold for it. An entry of the former one
-        that a neighbour's copy brings later is passed over.
+        A server may restart under the same identifier. The new instance has
+        none of the requests and caches of the old one, so the recorded state
+        of the old instance, including that it was draining, does not apply to
+        it. An entry of the old instance that arrives later from another host's
+        copy is ignored.
 
         Returns:
-            Whether the server, or this start of it, is new to this host.
+            Whether the server, or this instance of it, is new to this host.
         """
         server = self.servers.get(entry.id)
         if server is not None and entry.born < server.entry.born:
             return False
-        fresh = server is None or entry.born > server.entry.born
-        if fresh:
+        is_new = server is None or entry.born > server.entry.born
+        if is_new:
             region = self.regions.get(entry.data_centre, entry.data_centre)
             server = Server(entry, region)
             self.servers[entry.id] = server
-            self.groups.clear()
-        self.forget_moved(entry)
-        said = start_name(entry) in self.left
-        if (said or server.entry.leaving) and not entry.leaving:
+            self.candidate_cache.clear()
+        self.drop_notice_if_moved(entry)
+        announced = instance_id_of(entry) in self.leaving_notices
+        if (announced or server.entry.leaving) and not entry.leaving:
             entry = replace(entry, leaving=True)
-        if differs(entry, server.entry):
-            self.groups.clear()
+        if eligibility_changed(entry, server.entry):
+            self.candidate_cache.clear()
         server.entry = entry
         server.absent_since = NOTHING
         if entry.cold_left > 0:
-            until = now + entry.cold_left + COLD_MARGIN
+            until = now + entry.cold_left + COLD_MARGIN_SECONDS
             server.cold_until = max(server.cold_until, until)
-        if entry.gone_in is not NOTHING and server.gone_at is NOTHING:
-            server.gone_at = now + entry.gone_in
-        return fresh
+        if (
+            entry.terminates_in is not NOTHING
+            and server.terminates_at is NOTHING
+        ):
+            server.terminates_at = now + entry.terminates_in
+        return is_new
 
     def remove(self, server_id, now, *, outage):
-        """Note that the registry no longer holds a server.
+        """Apply the removal of a server from the registry.
 
-        While the registry is away registrations lapse although their
-        servers live. Dropping them all would refuse every request until
-        they are back, so they are kept for `ABSENT_GRACE`.
+        During an outage of the registry, registrations lapse although the
+        servers are up. Dropping them all would refuse every request until they
+        have registered again, so they are kept for `ABSENCE_GRACE_SECONDS`.
 
         Args:
             server_id: Its identifier.
             now: The time.
-            outage: Whether the registry has just come back.
+            outage: Whether the registry has just become reachable again.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -175,10 +183,10 @@
                 server.absent_since = now
             return
         del self.servers[server_id]
-        self.groups.clear()
+        self.candidate_cache.clear()
 
     def expire(self, now):
-        """Drop the servers whose registration did not come back.
+        """Drop servers that did not register again or are terminated.
 
         Returns:
             Identifiers of the dropped servers.
@@ -186,16 +194,16 @@
         gone = [
             server_id
             for server_id, server in self.servers.items()
-            if is_over(server, now)
+            if is_terminated(server, now)
         ]
         for server_id in gone:
             del self.servers[server_id]
         if gone:
-            self.groups.clear()
+            self.candidate_cache.clear()
         return gone
 
     def replace_all(self, entries, now, *, outage):
-        """Take over the whole registry."""
+        """Replace the servers by a full listing of the registry."""
         listed = {entry.id for entry in entries}
         for server_id in list(self.servers):
             if server_id not in listed:
@@ -204,11 +212,11 @@
             self.put(entry, now)
 
     def evacuate(self, data_centres, now, cold_seconds):
-        """Use no server of *data_centres*, and again those of the others.
+        """Set the evacuated data centres; servers of all others are usable.
 
-        Servers of a data centre that is taken back are cold at first,
-        and their entries say so only with a lag; a burst at that moment
-        would crash them.
+        Servers of a data centre that returns are cold at first, and their
+        entries show it only with a delay; a burst at that moment would crash
+        them.
 
         Args:
             data_centres: All data centres that are evacuated.
@@ -218,18 +226,18 @@
         """
         returned = self.evacuated - set(data_centres)
         self.evacuated = set(data_centres)
-        self.groups.clear()
+        self.candidate_cache.clear()
         for server in self.servers.values():
             if server.entry.data_centre in returned:
                 cold = cold_seconds(server.entry.service)
-                until = now + cold + COLD_MARGIN if cold else 0.0
+                until = now + cold + COLD_MARGIN_SECONDS if cold else 0.0
                 server.cold_until = max(server.cold_until, until)
 
     def usability(self, server_id, now):
-        """Return whether requests may go to a server.
+        """Return whether requests may be sent to a server.
 
         Returns:
-            Its `Usability`, or `NOTHING` if it is not known here.
+            Its `Usability`, or `NOTHING` if this host has no entry of it.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -238,101 +246,111 @@
             return Usability.LEAVING
         return server.usability(now)
 
-    def start_of(self, server_id):
-        """Return the name of the start of a server that is known here.
+    def current_instance(self, server_id):
+        """Return the instance identifier of a listed server.
 
-        A server may start again under its identifier; what was said of or
-        by the one before does not hold for it.
+        A server may restart under the same identifier; what was reported about
+        or by the former instance does not apply to the new one.
         """
         server = self.servers.get(server_id)
-        return server_id if server is None else start_name(server.entry)
+        return server_id if server is None else instance_id_of(server.entry)
 
-    def is_known(self, server_id, start):
-        """Whether this start of a server is the one that is known here."""
+    def is_current_instance(self, server_id, instance_id):
+        """Whether an instance of a server is the one that is listed here."""
         server = self.servers.get(server_id)
-        return server is not None and start_name(server.entry) == start
+        return (
+            server is not None and instance_id_of(server.entry) == instance_id
+        )
 
-    def forget_moved(self, entry):
-        """Forget that a server leaves that has moved.
+    def drop_notice_if_moved(self, entry):
+        """Drop the leaving notice of a server whose address has changed.
 
-        Without the time of its start in its entry, nothing else shows that
-        it is another one under the same identifier.
+        If the entry has no start time, nothing else shows that it describes a
+        new instance under the same identifier.
         """
-        notice = self.left.get(start_name(entry))
+        notice = self.leaving_notices.get(instance_id_of(entry))
         if notice is not None and notice.address != entry.address:
-            del self.left[notice.start]
-            self.count_left()
+            del self.leaving_notices[notice.instance_id]
+            self.update_leaving_digest()
 
-    def note_leaving(self, notice, now):
-        """Use a server no more that says that it leaves.
+    def record_leaving(self, notice, now):
+        """Stop using a server that announced that it is draining.
 
-        The store may be late to say so, or not say it at all. Word of a
-        server may come before its entry does.
+        The store may report this late or never. A notice may arrive before the
+        entry of its server.
 
         Args:
             notice: The `LeavingNotice`.
             now: The time.
 
         Returns:
-            Whether that start of the server was not known to leave.
+            Whether this instance was not yet recorded as draining.
         """
         server = self.servers.get(notice.server_id)
-        if server is not None and not is_about(notice, server.entry):
+        if server is not None and not notice_matches_entry(
+            notice, server.entry
+        ):
             return False
-        known = self.left.get(notice.start)
+        known = self.leaving_notices.get(notice.instance_id)
         if known is not None and known.at >= notice.at:
             return False
-        self.left[notice.start] = notice
+        self.leaving_notices[notice.instance_id] = notice
         if known is None:
-            self.count_left()
+            self.update_leaving_digest()
         if server is None or server.entry.leaving:
             return False
         server.entry = replace(server.entry, leaving=True)
-        self.groups.clear()
+        self.candidate_cache.clear()
         return True
 
-    def count_left(self):
-        """Note anew what sums up the servers that said that they leave."""
-        self.left_digest = 0
-        if self.left:
-            self.left_digest = hash_text("\n".join(sorted(self.left)))
+    def update_leaving_digest(self):
+        """Recompute the digest of all instances with a leaving notice."""
+        self.leaving_digest = 0
+        if self.leaving_notices:
+            self.leaving_digest = hash_text(
+                "\n".join(sorted(self.leaving_notices))
+            )
 
     def leaving_by_answer(self):
-        """Return how many servers that are known said that they leave."""
-        return sum(one.server_id in self.servers for one in self.left.values())
+        """Return the number of listed servers with a leaving notice."""
+        return sum(
+            one.server_id in self.servers
+            for one in self.leaving_notices.values()
+        )
 
-    def who_left(self, service, region, now):
-        """Return which servers said that they leave, for a log line."""
+    def describe_leaving(self, service, region, now):
+        """Return text on the draining servers of a service, for a log line."""
         return ", ".join(
-            f"{one.server_id} leaves, said {now - one.at:.1f} s ago to "
-            f"{one.host} in the answer to {one.request}"
-            for one in self.left.values()
-            if self.is_known(one.server_id, one.start)
+            f"{one.server_id} is draining, announced {now - one.at:.1f} s "
+            f"ago to {one.host} in the response to {one.request}"
+            for one in self.leaving_notices.values()
+            if self.is_current_instance(one.server_id, one.instance_id)
             and self.servers[one.server_id].entry.service == service
             and self.servers[one.server_id].region == region
         )
 
-    def forget_left(self, now):
-        """Forget servers that said that they leave, and are gone."""
+    def expire_leaving_notices(self, now):
+        """Drop old notices of instances that are no longer listed."""
         old = [
-            start
-            for start, notice in self.left.items()
-            if now - notice.at > LEAVING_KEPT
-            and not self.is_known(notice.server_id, start)
+            instance_id
+            for instance_id, notice in self.leaving_notices.items()
+            if now - notice.at > LEAVING_NOTICE_RETENTION_SECONDS
+            and not self.is_current_instance(notice.server_id, instance_id)
         ]
-        for start in old:
-            del self.left[start]
+        for instance_id in old:
+            del self.leaving_notices[instance_id]
         if old:
-            self.count_left()
+            self.update_leaving_digest()
 
     def candidates(self, service, region, now):
         """Return the servers of *service* in *region* that may be used.
 
-        They are kept until an entry changes: each choice asks for them.
+        The list is cached until an entry changes, because every placement
+        reads it.
         """
-        found = self.groups.get((service, region))
+        found = self.candidate_cache.get((service, region))
         if found is None:
-            found = self.groups[service, region] = [
+            found = self.candidate_cache[service, region] = [
                 server
                 for server in self.servers.values()
                 if server.entry.service == service
@@ -343,19 +361,19 @@
         return found
 
 
-def start_name(entry):
-    """Return the name of the start of a server that an entry tells of."""
+def instance_id_of(entry):
+    """Return the identifier of the server instance that an entry describes."""
     return f"{entry.id}/{entry.born}" if entry.born else entry.id
 
 
-def is_about(notice, entry):
-    """Whether a notice is on the start of a server that an entry names."""
+def notice_matches_entry(notice, entry):
+    """Whether a notice concerns the instance that an entry describes."""
     same = notice.address == entry.address
-    return same and notice.start == start_name(entry)
+    return same and notice.instance_id == instance_id_of(entry)
 
 
-def differs(entry, known):
-    """Whether an entry says something new on who may use a server."""
+def eligibility_changed(entry, known):
+    """Whether an entry changes which requests its server may get."""
     return (entry.service, entry.data_centre, entry.leaving) != (
         known.service,
         known.data_centre,
@@ -363,8 +381,8 @@
     )
 
 
-def is_over(server, now):
-    """Whether a server is to be taken as gone at *now*."""
+def is_terminated(server, now):
+    """Whether a server counts as gone at *now*."""
     if server.absent_since is not NOTHING:
-        return now - server.absent_since > ABSENT_GRACE
-    return server.gone_at is not NOTHING and now > server.gone_at
+        return now - server.absent_since > ABSENCE_GRACE_SECONDS
+    return server.terminates_at is not NOTHING and now > server.terminates_at
--- /dev/null
+++ b/src/hyssopspring/traffic/workmodels.py
@@ -0,0 +1,26 @@
+"""Choose the model of a server's work by its service."""
+
+from ..core.sentinels import NOTHING
+from .enginework import EngineWork
+from .plainwork import PlainServerWork
+
+__all__ = ["make_work"]
+
+
+def make_work(
+    service, slots, prefill_times, decode_times, *, disabled=frozenset()
+):
+    """Return the model of a server's work in progress.
+
+    Args:
+        service: Its `Service`.
+        slots: Requests that it runs concurrently, according to its entry.
+        prefill_times: `PrefillTimes` of the service.
+        decode_times: `DecodeTimes` of the service.
+        disabled: Each `Mechanism` that is disabled.
+    """
+    if service.engine is NOTHING:
+        return PlainServerWork(max(1, slots))
+    return EngineWork(
+        service.engine, prefill_times, decode_times, disabled=disabled
+    )
--- a/src/hyssopspring/traffic/workspaces.py
+++ b/src/hyssopspring/traffic/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces: who may ask, and with which rights."""
+"""Workspaces: their keys, their permissions and their token limits."""
 
 from dataclasses import dataclass
 
@@ -9,41 +9,42 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TokenLimit:
-    """How much a workspace may ask for, over all hosts.
+    """Rate limit of the tokens of a workspace, over all hosts.
 
     Attributes:
         rate: Tokens a second.
-        burst: Tokens besides.
-        plain_tokens: Tokens that a request counts which states none.
-        by_request: Whether each request counts as one, in place of its
+        burst: Tokens that may be used on top of the rate.
+        plain_tokens: Tokens counted for a request that states none.
+        counts_requests: Whether each request counts as one, instead of its
             tokens.
     """
 
     rate: float
     burst: float
     plain_tokens: int = 1
-    by_request: bool = False
+    counts_requests: bool = False
 
     def count(self, tokens):
-        """Return what a request counts.
+        """Return the number that a request counts against the limit.
 
         Args:
             tokens: Tokens that it states, or `NOTHING`.
         """
-        if self.by_request:
+        if self.counts_requests:
             return 1
         return self.plain_tokens if tokens is NOTHING else tokens
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workspace:
-    """A group of callers with rights of its own.
+    """A customer with permissions of its own.
 
     Attributes:
         name: Its name.
         key_digests: Digest of each of its keys.
-        priority: Rank of its requests, before that of their route; 0 is
-            the highest; `NOTHING` if that of the route holds.
+        priority: Rank of its requests, which takes precedence over that of
+            their route; 0 is the highest; `NOTHING` if that of the route
+            applies.
         homes: Regions that may serve it; empty for all.
         limit: Its `TokenLimit`, or `NOTHING`.
     """
--- a/src/hyssopspring_fakes/emulation.py
+++ b/src/hyssopspring_fakes/emulation.py
@@ -11,11 +11,15 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-from hyssopspring.entry.asking import ANSWER_WITHIN
-from hyssopspring.traffic.decisions import Ask, Away, Placed
-from hyssopspring.traffic.evidence import Finding
+from hyssopspring.entry.coordinator import ANSWER_TIMEOUT_SECONDS
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+)
 from hyssopspring.traffic.placing import Placer
 from hyssopspring.traffic.routes import EngineSpec, Service
+from hyssopspring.traffic.serverhealth import AttemptResult
 from hyssopspring.traffic.serverlimits import LimitNotice
 from hyssopspring.traffic.servers import Registry, ServerEntry
 from hyssopspring.traffic.work import Demand
@@ -136,7 +140,7 @@
             before it.
         choice_seconds: Seconds that the host that places for a region
             needs for each question. It answers the newest first; who
-            waits for longer than `ANSWER_WITHIN` decides without it.
+            waits for longer than `ANSWER_TIMEOUT_SECONDS` decides without it.
         limits: Requests a second that engines name as their limit, by name.
     """
 
@@ -426,7 +430,7 @@
                 lambda one: 6.0,
                 rng,
                 lambda now: set(shape.engines),
-                off=shape.off,
+                disabled=shape.off,
             )
             for region in shape.engines
         }
@@ -443,9 +447,9 @@
         for name, limit in self.shape.limits.items():
             region = self.registry.servers[name].region
             notice = LimitNotice(
-                server_id=name, start=name, limit=limit, at=0.0
+                server_id=name, instance_id=name, limit=limit, at=0.0
             )
-            self.placers[region].limits.hear(notice, 0.0)
+            self.placers[region].limits.apply_notice(notice, 0.0)
 
     def run(self):
         """Play to the end."""
@@ -511,7 +515,7 @@
     def answer(self, now):
         """Let the placing hosts answer; who waits too long does without."""
         for region, asked in self.asked.items():
-            while asked and now - asked[0][0] > ANSWER_WITHIN:
+            while asked and now - asked[0][0] > ANSWER_TIMEOUT_SECONDS:
                 _, load, _ = asked.popleft()
                 name = self.rng.choice(self.by_region[region])
                 self.engines[name].add(load)
@@ -527,7 +531,7 @@
             self.send_nearest(load, region)
             return
         waited = now - load.at
-        ask = Ask(
+        ask = PlacementQuery(
             host="h",
             number=load.number,
             service="engine",
@@ -546,7 +550,7 @@
             if decision.copy_from:
                 engine.copy(load, self.engines[decision.copy_from])
             engine.add(load, now)
-        elif isinstance(decision, Away):
+        elif isinstance(decision, PlacedRemotely):
             load.delay = ONE_WAY
             self.moving.append((now + ONE_WAY, load, decision.region))
         else:
@@ -582,7 +586,11 @@
             if load.number in self.at_engine:
                 region, _ = self.at_engine.pop(load.number)
                 whole = load.left_out <= 0
-                finding = Finding.ANSWERED if whole else Finding.CANCELLED
+                finding = (
+                    AttemptResult.ANSWERED
+                    if whole
+                    else AttemptResult.CANCELLED
+                )
                 self.placers[region].note_end(
                     "h", load.number, engine.name, finding, now
                 )
@@ -603,4 +611,4 @@
         for _, region, loads in heard:
             for other, placer in self.placers.items():
                 if other != region:
-                    placer.take_load(region, dict(loads), now)
+                    placer.apply_load_report(region, dict(loads), now)
--- a/tests/entry_hosts.py
+++ b/tests/entry_hosts.py
@@ -170,7 +170,8 @@
         """Wait until each host knows the other's load."""
         await self.until(
             lambda: all(
-                process.placer.others.told_at and process.is_ready()
+                process.placer.remote_regions.reported_at
+                and process.is_ready()
                 for process in self.processes.values()
             )
         )
@@ -187,11 +188,11 @@
         north = [p for n, p in self.processes.items() if "north" in n]
         await self.until(
             lambda: (
-                sorted(bool(p.following.followers) for p in north)
+                sorted(bool(p.store_sync.watchers) for p in north)
                 == [False, True, True]
             )
         )
-        resting = next(p for p in north if not p.following.followers)
+        resting = next(p for p in north if not p.store_sync.watchers)
         return north, resting
 
     async def until(self, condition, *, within=LONGEST_WAIT):
--- a/tests/networks.py
+++ b/tests/networks.py
@@ -12,22 +12,25 @@
 
 from hyssopspring.core.addresses import split_address
 from hyssopspring.core.tokenlimits import Allowance, TokenLimits
-from hyssopspring.entry.attempts import Head
+from hyssopspring.entry.attempts import ResponseHead
 from hyssopspring.entry.crashsharing import CrashSharing
-from hyssopspring.entry.datagrams import Datagrams
+from hyssopspring.entry.datagrams import DatagramEndpoint
 from hyssopspring.entry.limiting import (
-    LATELY,
-    TRANSFERS_EVERY,
-    Limiting,
-    Standing,
+    RECENT_FALLBACK_SECONDS,
+    TRANSFER_INTERVAL_SECONDS,
+    PlacementShare,
+    WorkspaceLimiter,
 )
-from hyssopspring.entry.membership import HEARTBEAT_EVERY, Membership
-from hyssopspring.entry.notices import Notices
-from hyssopspring.entry.views import ConfirmedView, ViewChecking
-from hyssopspring.traffic.crashes import Crashes
-from hyssopspring.traffic.decisions import Ask, Placed
+from hyssopspring.entry.membership import (
+    HEARTBEAT_INTERVAL_SECONDS,
+    Membership,
+)
+from hyssopspring.entry.notices import ServerNotices
+from hyssopspring.entry.views import ConfirmedView, ViewVerifier
+from hyssopspring.traffic.crashes import CrashTracker
+from hyssopspring.traffic.decisions import Placed, PlacementQuery
 from hyssopspring.traffic.members import Member, Members
-from hyssopspring.traffic.rests import Rests
+from hyssopspring.traffic.retryafter import RetryAfterPauses
 from hyssopspring.traffic.routes import Configuration, ConfigurationKeeper
 from hyssopspring.traffic.serverlimits import ServerLimits
 from hyssopspring.traffic.servers import Registry, ServerEntry
@@ -66,13 +69,13 @@
 class Quiet:
     """A placer, its questions and a time line of a host without requests."""
 
-    limiting = None
+    limiter = None
 
     def __init__(self):
         self.forgotten = []
         self.events = Counter()
 
-    def open_tickets(self):
+    def placement_rows(self):
         """Return no request."""
         return []
 
@@ -87,13 +90,13 @@
         """Return no load."""
         return {}
 
-    def take_load(self, region, loads, now):
+    def apply_load_report(self, region, loads, now):
         """Do nothing."""
 
-    def keep_only(self, host, numbers, now, *, older_than):
+    def retain_placements(self, host, numbers, now, *, older_than):
         """Do nothing."""
 
-    def forget(self, key):
+    def close_idle(self, key):
         """Do nothing."""
 
     def note(self, kind, **details):
@@ -110,7 +113,7 @@
         self.up = True
         self.burst_at = -1.0
         self.burst = 0
-        self.told_suspects = 0
+        self.suspect_datagrams = 0
         self.began = network.clock.seconds()
         ip = f"10.{REGIONS.index(region)}.{number // 200}.{number % 200}"
         own = Member(
@@ -126,22 +129,22 @@
         )
         self.members = Members(own)
         self.quiet = Quiet()
-        self.datagrams = Datagrams(self.receive, self.refuse)
+        self.datagrams = DatagramEndpoint(self.receive, self.refuse)
         self.datagrams.transport = self
         self.saved = []
         self.sharing = CrashSharing(
-            Crashes(),
+            CrashTracker(),
             self.members,
             self.datagrams,
             network.clock,
             self.quiet,
-            lambda: self.membership.far_hosts_to_tell(),
+            lambda: self.membership.remote_hosts_to_notify(),
             self.saved.append,
         )
         self.keeper = ConfigurationKeeper()
         self.take_version(network.version)
         self.view = ConfirmedView(network.clock.seconds, REVOCATION)
-        self.views = ViewChecking(
+        self.views = ViewVerifier(
             self.view,
             self.keeper,
             self.members,
@@ -149,33 +152,33 @@
             network.clock,
             self.quiet,
             lambda: network.read_store(self),
-            lambda: self.membership.far_contacts,
+            lambda: self.membership.remote_contacts,
         )
-        standing = Standing(self.members, network.clock)
-        self.limiting = Limiting(
-            TokenLimits(len(REGIONS), ALLOWANCE, standing.weight),
+        placement_share = PlacementShare(self.members, network.clock)
+        self.limiter = WorkspaceLimiter(
+            TokenLimits(len(REGIONS), ALLOWANCE, placement_share.share),
             self.keeper,
             self.members,
             self.datagrams,
             network.clock.seconds,
             network.clock,
             network.rng,
-            standing,
-            lambda: self.membership.far_contacts,
+            placement_share,
+            lambda: self.membership.remote_contacts,
         )
-        self.quiet.limiting = self.limiting
+        self.quiet.limiter = self.limiter
         self.registry = Registry({f"{region}-a": region})
-        self.server_limits = ServerLimits(standing.weight, network.rng)
-        self.notices = Notices(
+        self.server_limits = ServerLimits(placement_share.share, network.rng)
+        self.notices = ServerNotices(
             self.server_limits,
-            Rests(self.registry, network.rng),
+            RetryAfterPauses(self.registry, network.rng),
             self.registry,
             self.members,
             self.datagrams,
             self.quiet,
             network.clock,
             self.quiet,
-            lambda message: self.membership.spread(message),
+            lambda message: self.membership.broadcast_in_region(message),
         )
         self.membership = Membership(
             self.members,
@@ -208,7 +211,7 @@
 
     def write(self, data, address):
         """Send one datagram, unless the link is full."""
-        self.told_suspects += data[1:3] == SUSPECTS_TAG
+        self.suspect_datagrams += data[1:3] == SUSPECTS_TAG
         now = self.network.clock.seconds()
         if now != self.burst_at:
             self.burst_at, self.burst = now, 0
@@ -224,12 +227,12 @@
             self.sharing.tick()
             self.notices.tick()
             self.views.tick()
-            self.membership.beat()
+            self.membership.send_heartbeats()
 
     def balance(self):
         """Ask for tokens."""
         if self.up:
-            self.limiting.tick()
+            self.limiter.tick()
 
     def live(self, region):
         """Return the names of the live hosts of a region."""
@@ -269,8 +272,8 @@
         self.hosts[name] = host
         self.by_ip[split_address(host.members.own.control)[0]] = host
         for work, interval in (
-            (host.beat, HEARTBEAT_EVERY),
-            (host.balance, TRANSFERS_EVERY),
+            (host.beat, HEARTBEAT_INTERVAL_SECONDS),
+            (host.balance, TRANSFER_INTERVAL_SECONDS),
         ):
             loop = task.LoopingCall(work)
             loop.clock = self.clock
@@ -283,7 +286,7 @@
         """Let a host read the addresses of others in the store."""
         for other in others:
             own = other.members.own
-            host.members.learn(
+            host.members.add(
                 Member(
                     name=own.name,
                     region=own.region,
@@ -442,7 +445,7 @@
     def ask(self, host, now):
         """Make one request at a host, which asks those that place."""
         self.number += 1
-        ask = Ask(
+        ask = PlacementQuery(
             host=host.members.own.name,
             number=self.number,
             service="engine",
@@ -479,13 +482,14 @@
             if late or not other.up or self.network.cut & {host, other}:
                 self.strayed_at[ask.host] = now
                 continue
-            other.limiting.standing.note_asked(
+            other.limiter.placement_share.note_asked(
                 ask.host,
-                second=turn > 0,
-                strayed=now - self.strayed_at.get(ask.host, -9.0) < LATELY,
+                is_fallback=turn > 0,
+                recent_fallback=now - self.strayed_at.get(ask.host, -9.0)
+                < RECENT_FALLBACK_SECONDS,
             )
-            return other.limiting.decide(ask, placed)
-        return host.limiting.decide(ask, placed)
+            return other.limiter.decide(ask, placed)
+        return host.limiter.decide(ask, placed)
 
     def most_in(self, window):
         """Return the most tokens that passed in any window."""
@@ -608,16 +612,16 @@
         free = [
             one
             for one in self.servers_of(host.region)
-            if placing.server_limits.is_free(one, now)
+            if placing.server_limits.can_send(one, now)
         ]
         if not free:
             return
         server_id = self.network.rng.choice(free)
-        placing.server_limits.take(server_id, now)
+        placing.server_limits.consume(server_id, now)
         self.arrived[server_id].append(now)
         self.sent += 1
-        head = Head(stamped=True, limit=self.limit(now))
-        hear = host.notices.listener(server_id, f"r{self.sent}")
+        head = ResponseHead(signed=True, limit=self.limit(now))
+        hear = host.notices.head_handler(server_id, f"r{self.sent}")
         self.network.clock.callLater(
             ANSWER_SECONDS, lambda: host.up and hear(head)
         )
@@ -632,8 +636,10 @@
             if late or not other.up or self.network.cut & {host, other}:
                 continue
             name = host.members.own.name
-            standing = other.limiting.standing
-            standing.note_asked(name, second=turn > 0, strayed=late)
+            placement_share = other.limiter.placement_share
+            placement_share.note_asked(
+                name, is_fallback=turn > 0, recent_fallback=late
+            )
             return other
         return host
 
--- /dev/null
+++ b/tests/test_coordinator.py
@@ -0,0 +1,180 @@
+"""Placement queries between hosts of a region, and the answers to them."""
+
+import random
+
+import pytest
+from testtools.assertions import assert_that
+from testtools.matchers import Equals
+from twisted.internet import defer, task
+
+from hyssopspring.core.events import HybridClock, Timeline
+from hyssopspring.entry.coordinator import (
+    PlacementCoordinator,
+    answer_message,
+    decision_from_message,
+    query_message,
+)
+from hyssopspring.entry.messages import (
+    AttemptEndedMessage,
+    decode_message,
+    encode_message,
+)
+from hyssopspring.traffic.decisions import (
+    Placed,
+    PlacedRemotely,
+    PlacementQuery,
+    RateLimited,
+    Refused,
+)
+from hyssopspring.traffic.members import Member, Members
+from hyssopspring.traffic.placing import Placer
+from hyssopspring.traffic.retryafter import RetryAfterPauses
+from hyssopspring.traffic.routes import Service
+from hyssopspring.traffic.servers import Registry
+
+DECISIONS = [
+    Placed("server", "127.0.0.1:80", 3, 0.25),
+    Placed("server", "127.0.0.1:80", 2, 0.5, at_once=True),
+    Placed("server", "127.0.0.1:80", 2, 0.5, copy_from="127.0.0.2:80"),
+    PlacedRemotely("south", 0.4),
+    Refused(0.75, 1.5, 4),
+    RateLimited(0.3, "placer", 3333, -120, 90_000),
+]
+
+
+@pytest.mark.parametrize("decision", DECISIONS)
+def test_a_decision_survives_encoding_and_decoding(decision):
+    """Guards against decisions that cannot be encoded.
+
+    If the placing host failed to encode a refusal, the querying host would
+    wait for 80 ms, query the next host in vain, decide by itself without the
+    state of the region, and send the request to an engine that is full.
+    """
+    message = decode_message(encode_message(answer_message(7, decision)))
+    assert_that(message.number, Equals(7))
+    assert_that(decision_from_message(message), Equals(decision))
+
+
+class Unlimited:
+    """Limiter that allows all requests."""
+
+    @property
+    def placement_share(self):
+        """Return the object that records queries."""
+        return self
+
+    def note_asked(self, host, *, is_fallback, recent_fallback):
+        """Do nothing."""
+
+    def decide(self, ask, decide):
+        """Return the result of *decide*."""
+        return decide()
+
+    def note_end(self, host, number, finding):
+        """Do nothing."""
+
+
+class SentMessages(list):
+    """Record the messages that are sent, with their addresses."""
+
+    def send(self, message, address):
+        """Record one message."""
+        self.append((message, address))
+
+
+def make_member(name):
+    """Return a member of the region that has been up for a minute."""
+    return Member(
+        name=name,
+        region="north",
+        data_centre="north-a",
+        front="",
+        control=f"{name}:2",
+        relay="",
+        capacity=9.0 if name == "placer" else 0.1,
+        up_seconds=60.0,
+    )
+
+
+def make_coordinator(own, other):
+    """Return a host's `PlacementCoordinator`, its clock and sent messages."""
+    clock = task.Clock()
+    members = Members(make_member(own))
+    members.add(make_member(other))
+    members.others[other].last_heartbeat_at = 0.0
+    sent = SentMessages()
+    registry = Registry({})
+    placer = Placer(
+        "north",
+        registry,
+        lambda name: Service(name=name),
+        lambda service: 0.0,
+        random.Random(1),
+        lambda now: {"north"},
+    )
+    timeline = Timeline(own, HybridClock(clock.seconds))
+    coordinator = PlacementCoordinator(
+        members,
+        placer,
+        registry,
+        sent,
+        clock,
+        clock.seconds,
+        timeline,
+        Unlimited(),
+        RetryAfterPauses(registry, random.Random(1)),
+    )
+    return coordinator, clock, sent
+
+
+def test_a_busy_placing_host_answers_the_newest_questions():
+    """Guards against an overloaded placing host that answers only too late.
+
+    If it answered queries in order of arrival, each answer would come after
+    the timeout, and every host would place its requests by itself without
+    the state of the region.
+    """
+    coordinator, clock, sent = make_coordinator("placer", "asker")
+    asker = coordinator.members.others["asker"]
+
+    def ask(number):
+        message = query_message(
+            PlacementQuery(host="asker", number=number, service="s")
+        )
+        coordinator.enqueue_query(message, asker)
+
+    for number in range(30):
+        ask(number)
+    # The event loop is blocked, by other work or by more queries than the
+    # host can answer. Then ten more arrive.
+    clock.rightNow += 0.2
+    for number in range(30, 40):
+        ask(number)
+    for _ in range(10):
+        clock.advance(0)
+    answered = [message.number for message, _ in sent]
+    assert_that(sorted(answered), Equals(list(range(30, 40))))
+    assert_that(answered[0], Equals(39))
+    assert_that(coordinator.queries_dropped, Equals(30))
+
+
+def test_a_late_placement_is_released():
+    """Guards against servers that look loaded by requests they never get.
+
+    The placing host is busy and answers after 0.2 s, when the querying host
+    has already decided by itself. Without a release, the placing host would
+    go on counting the request at its server.
+    """
+    coordinator, clock, sent = make_coordinator("asker", "placer")
+    done = defer.ensureDeferred(
+        coordinator.place(PlacementQuery(host="", number=0, service="plain"))
+    )
+    clock.advance(0.2)
+    number, decision = done.result
+    assert isinstance(decision, Refused)
+    coordinator.handle_answer(answer_message(number, DECISIONS[0]))
+    message, address = sent[-1]
+    assert isinstance(message, AttemptEndedMessage)
+    assert_that((message.host, message.number), Equals(("asker", number)))
+    assert_that(message.server_id, Equals("server"))
+    assert_that(address, Equals("placer:2"))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Entry hosts, servers and a store on loopback: what callers see."""
+"""Entry hosts, servers and a store on loopback, as callers see them."""
 
 import json
 from base64 import b64decode
@@ -11,12 +11,12 @@
 from twisted.internet import defer, protocol, reactor, task
 from twisted.web.http_headers import Headers
 
-from hyssopspring.entry.callers import SERVE_ON
+from hyssopspring.entry.callers import DRAIN_ACCEPT_SECONDS
 from hyssopspring.entry.messages import StoreChange, StoredItem
 from hyssopspring.entry.relaying import (
-    ORDER_HEADER,
-    RelayOrder,
-    encode_order,
+    RELAY_HEADER,
+    RelayParameters,
+    encode_parameters,
 )
 
 USAGE = {"x_token_usage": "100,20", "x_prompt_prefix": "ab:60,cd:40"}
@@ -25,7 +25,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_request_is_served_whole(hosts):
-    """The server's status, body and stamp arrive unchanged."""
+    """The server's status, body and signature arrive unchanged."""
     status, headers, body = await hosts.send(
         "h-north", "/lookup/a?b=1", identifier="r1"
     )
@@ -47,11 +47,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_stream_that_breaks_goes_on_at_another_server(hosts):
-    """A quote stops midway.
+    """A stream whose server fails midway is resumed at another server.
 
-    Its server breaks off in the middle of an event. Another one, in the
-    other region, goes on after the last event that came whole; the caller
-    sees one stream without a gap or a repeat.
+    The first server aborts the response in the middle of an event. A server of
+    the other region resumes it after the last complete event, and the caller
+    receives one stream without a gap or a repeated event.
     """
     hosts.backends["engine-north"].mood = "cut"
     status, _, body = await hosts.send(
@@ -64,7 +64,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_review_that_breaks_runs_once_and_shows_its_end(hosts):
-    """A review is done twice, or a part of it passes for the whole."""
+    """A request that must not be repeated runs once if its stream breaks.
+
+    The caller must also be able to see that the response is truncated.
+    """
     hosts.backends["engine-north"].mood = "cut"
     with pytest.raises(Exception) as raised:
         await hosts.send(
@@ -78,7 +81,7 @@
 @pytest.mark.parametrize("mood", ["error", "reset", "foreign"])
 @pytest_twisted.ensureDeferred
 async def test_a_lookup_is_repeated_at_another_server(hosts, mood):
-    """A lookup fails though another server would have answered."""
+    """A repeatable request is retried if another server can respond."""
     hosts.backends["plain-north"].mood = mood
     status, _, body = await hosts.send("h-north", "/lookup/a", identifier="r1")
     assert_that((status, body), Equals((200, b"whole /lookup/a")))
@@ -88,10 +91,10 @@
 @pytest.mark.parametrize("mood", ["reset", "foreign"])
 @pytest_twisted.ensureDeferred
 async def test_a_posting_that_may_have_run_is_not_repeated(hosts, mood):
-    """A vendor is paid twice.
+    """A request that may have run, such as a payment, is not retried.
 
-    The server ran the posting and its answer was lost. Nobody repeats it,
-    and the caller is not told that it did not run.
+    The server runs the request and its response is lost. The caller must not
+    be informed that the request did not run.
     """
     hosts.backends["plain-north"].mood = mood
     status, _, _ = await hosts.send(
@@ -103,7 +106,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_posting_that_was_refused_goes_elsewhere(hosts):
-    """A posting fails at a full server though another one is free."""
+    """A request that a full server refuses runs at a server with room."""
     hosts.backends["plain-north"].mood = "full"
     status, _, _ = await hosts.send(
         "h-north", "/post/a", identifier="r1", method=b"POST", body=b"x"
@@ -114,7 +117,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_refused_everywhere_means_not_run(hosts):
-    """The caller is told at once that nothing ran, and when to come."""
+    """The caller is informed at once that nothing ran, with a Retry-After."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].mood = "full"
     status, headers, _ = await hosts.send(
@@ -129,10 +132,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_another_server_at_the_address_runs_nothing(hosts):
-    """A request reaches a server of another service.
+    """A server of another service does not run a misdirected request.
 
-    The address of a server that is gone belongs to a new one. Each
-    request names the server that it is meant for.
+    The address of a server that is gone may be assigned to a new one. Each
+    request names the server for which it is intended.
     """
     backend = hosts.backends["plain-north"]
     backend.name = "newcomer"
@@ -143,7 +146,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_bound_request_is_served_in_its_home_only(hosts):
-    """Data leaves its home when its servers there are full."""
+    """Data stay in their home region even if its servers are full."""
     status, _, _ = await hosts.send("h-north", "/bound/a", identifier="r1")
     assert_that(status, Equals(200))
     hosts.backends["plain-south"].mood = "full"
@@ -155,7 +158,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_the_timeout_is_answered_at_its_moment(hosts):
-    """A caller waits beyond the time that the operator allows."""
+    """A caller receives a response when the timeout of the route is over."""
     for name in ("plain-north", "plain-south"):
         hosts.backends[name].mood = "silent"
     began = reactor.seconds()
@@ -168,10 +171,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_work_for_a_caller_that_left_is_stopped(hosts):
-    """A server works on for callers that have gone.
+    """A server stops work for a caller that has disconnected.
 
-    The caller closes its connection while the stream runs in the other
-    region; the close must reach the server there.
+    The caller closes its connection while the stream runs in the other region.
+    The close has to reach the server there.
     """
     engine = hosts.backends["engine-south"]
     engine.gap, engine.events = 0.2, 50
@@ -187,7 +190,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_work_is_stopped_before_it_has_answered(hosts):
-    """A server works on for a caller that left before the first byte."""
+    """A server stops if the caller disconnects before the first byte."""
     server = hosts.backends["plain-south"]
     server.mood = "silent"
     waiting = hosts.begin("h-north", "/bound/a", "r1", b"GET", b"", {})
@@ -215,7 +218,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_leaving_and_evacuated_servers_get_nothing(hosts):
-    """A server that leaves gets new work, and cuts it."""
+    """A server that is leaving gets no new work, which it would abort."""
     address = hosts.backends["plain-north"].port.getHost()
     hosts.register(
         "plain-north",
@@ -241,19 +244,23 @@
 
 @pytest_twisted.ensureDeferred
 async def test_hosts_serve_on_while_the_store_is_away(hosts):
-    """All requests are refused as soon as the store does not answer."""
+    """Requests are served while the store does not respond."""
     hosts.store.down = True
     north = hosts.processes["h-north"]
-    await hosts.until(lambda: north.state.contact.away)
+    await hosts.until(lambda: north.state.contact.unavailable)
     status, _, _ = await hosts.send("h-north", "/lookup/a", identifier="r1")
     assert_that(status, Equals(200))
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_host_that_the_store_refuses_learns_from_a_neighbour(hosts):
-    """One host serves a dropped route for as long as the store refuses it.
-
-    The store turns this host away and serves its neighbour.
+async def test_a_host_that_the_store_refuses_gets_changes_from_its_region(
+    hosts,
+):
+    """A host that the store refuses receives a new configuration.
+
+    The store refuses the requests of this host only, and serves another host
+    of the region. The host would otherwise serve a removed route for as long
+    as the store refuses it.
     """
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
@@ -267,7 +274,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_the_directory_names_hosts_of_the_callers_region(hosts):
-    """A bound request's body goes to a region that is no home of it."""
+    """The directory returns hosts of the caller's own region.
+
+    The body of a request bound to its home region would otherwise be sent to
+    another region.
+    """
     query = "/v1/resolve?name=a.example&region=north&zone=north-a"
     status, body = await hosts.page("h-south", query)
     front = hosts.processes["h-north"].settings.front
@@ -276,20 +287,20 @@
 
 
 def note_time(result, times):
-    """Add the time of this moment to *times*, and pass *result* on."""
+    """Append the current time to *times* and return *result*."""
     times.append(reactor.seconds())
     return result
 
 
 @pytest_twisted.ensureDeferred
 async def test_a_planned_stop_cuts_nothing(hosts):
-    """A rolling restart cuts the streams of callers.
+    """A rolling restart does not abort the streams of callers.
 
-    The host is told to stop while a stream runs. It says that it is not
-    ready, the directory of the other host names it no more, the stream
-    ends whole, and new requests of callers that still hold its address
-    are refused as not run. The process does not end before the last bytes
-    of the stream have left it.
+    The host is asked to stop while a stream runs. It reports that it is not
+    ready, the directory of the other host no longer lists it, the stream is
+    completed, and new requests of callers that still use its address are
+    refused as not run. The process does not end before the last bytes of the
+    stream have been sent.
     """
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
@@ -312,7 +323,7 @@
             not in [m.name for m in south.members.live(reactor.seconds())]
         )
     )
-    await task.deferLater(reactor, SERVE_ON)
+    await task.deferLater(reactor, DRAIN_ACCEPT_SECONDS)
     status, _, _ = await hosts.send(
         "h-north", "/review/a", identifier="r2", method=b"POST", **USAGE
     )
@@ -329,33 +340,35 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_the_lines_of_a_request_tell_its_whole_way(hosts):
-    """On call reads why a request was answered from another region."""
+async def test_log_lines_show_each_step_of_a_request(hosts):
+    """The log shows why a request was served from another region."""
     hosts.backends["plain-north"].mood = "full"
     await hosts.send("h-north", "/lookup/a", identifier="r1")
     for process in hosts.processes.values():
-        process.lines.flush()
+        process.log_writer.flush()
     rows = [json.loads(line) for line in hosts.lines]
-    way = [row["event"] for row in rows if row.get("request") == "r1"]
+    logged_events = [
+        row["event"] for row in rows if row.get("request") == "r1"
+    ]
     for event in ("placed", "attempt_ended", "sent_away", "relayed"):
-        assert_that(way, Contains(event))
-    assert_that(way[-1:], Not(Equals([])))
+        assert_that(logged_events, Contains(event))
+    assert_that(logged_events[-1:], Not(Equals([])))
     ended = next(row for row in rows if row["event"] == "attempt_ended")
     assert_that(ended["reason"], Equals("refused_by_server"))
 
 
 @pytest_twisted.ensureDeferred
 async def test_changes_reach_hosts_that_do_not_watch(hosts):
-    """Calls to the store grow with hosts times servers.
+    """Calls to the store do not grow with hosts times servers.
 
-    Two hosts of a region watch; the third rests and hears from them. It
-    also learns of a change whose datagram was lost, by the next one.
+    Two hosts of a region watch the store; the third receives changes from
+    them. It also receives a change whose datagram was lost, with the next one.
     """
     north, resting = await hosts.with_resting_host()
-    calls = resting.following.store.calls
+    calls = resting.store_sync.store.calls
     hosts.store.put_json("op/config", configuration(5))
     await hosts.until(lambda: resting.keeper.version == 5)
-    take = resting.following.copies.take_change
+    take = resting.store_sync.replication.apply_change
     resting.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(6))
     await task.deferLater(reactor, 0.3)
@@ -363,68 +376,74 @@
     hosts.store.put_json("op/evacuate/south-a", {})
     await hosts.until(lambda: resting.keeper.version == 6)
     await hosts.until(lambda: resting.registry.evacuated == {"south-a"})
-    assert resting.following.store.calls - calls <= 3
+    assert resting.store_sync.store.calls - calls <= 3
 
 
 @pytest_twisted.ensureDeferred
 async def test_another_host_watches_when_one_loses_the_store(hosts):
-    """A region misses a change, since its watching hosts are cut off."""
+    """A region receives changes if its watching hosts lose the store."""
     north, resting = await hosts.with_resting_host()
     for process in north:
         if process is not resting:
             hosts.store.refuse(process.settings.address)
-    await hosts.until(lambda: resting.following.followers, within=4.0)
+    await hosts.until(lambda: resting.store_sync.watchers, within=4.0)
     hosts.store.put_json("op/config", configuration(5))
     await hosts.until(lambda: all(p.keeper.version == 5 for p in north))
 
 
 @pytest_twisted.ensureDeferred
-async def test_strangers_change_nothing(hosts):
-    """A request runs past all checks, or a change comes from nowhere.
+async def test_unknown_hosts_change_nothing(hosts):
+    """Requests and messages from outside the system are refused.
 
-    Someone who is no host of the system reaches the ports between hosts.
+    A sender that is no host of the system reaches the ports between hosts. A
+    request must not bypass the checks there, nor a change be accepted.
     """
     north = hosts.processes["h-north"]
     relay = north.members.own.relay
-    order = encode_order(
-        RelayOrder("x", "plain", False, True, 5.0, 1.0, 5.0, 0, [], "", False)
+    parameters = encode_parameters(
+        RelayParameters(
+            "x", "plain", False, True, 5.0, 1.0, 5.0, 0, [], "", False
+        )
     )
     response = await hosts.agent.request(
         b"POST",
         f"http://{relay}/lookup/a".encode(),
-        Headers({ORDER_HEADER: [order], b"x-request-attempt-id": [b"r9"]}),
+        Headers(
+            {RELAY_HEADER: [parameters], b"x-request-attempt-id": [b"r9"]}
+        ),
     )
     assert_that(response.code, Equals(403))
     outcome = response.headers.getRawHeaders("hyssop-outcome")
     assert_that(outcome, Equals(["not-run"]))
     change = StoreChange("h-south", "op/", 0, [], [], False)
-    before = north.measures.events["peer_refused"]
+    before = north.metrics.events["peer_refused"]
     north.membership.receive(change, "127.0.0.77")
-    assert_that(north.measures.events["peer_refused"], Equals(before + 1))
+    assert_that(north.metrics.events["peer_refused"], Equals(before + 1))
     ran = [one for b in hosts.backends.values() for one in b.ran]
     assert_that(ran, Equals([]))
 
 
 @pytest_twisted.ensureDeferred
 async def test_a_lost_change_is_not_hidden_by_a_later_one(hosts):
-    """A third of the hosts serve an old configuration for good.
+    """A lost datagram does not leave a host with an old configuration.
 
-    The datagram with the new configuration is lost. A change of a server
-    that is newer has come by another watch, which had not seen the
-    configuration either; all hosts name the same newest revision.
+    The datagram with the new configuration is lost. A newer change of a server
+    arrives from another watch, which had not received the configuration
+    either. All hosts then report the same newest revision, and a third of them
+    would keep the old configuration permanently.
     """
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
-    take = second.following.copies.take_change
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
+    take = second.store_sync.replication.apply_change
     second.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(5))
     north = hosts.processes["h-north"]
     await hosts.until(lambda: north.keeper.version == 5)
     server = hosts.store.items["servers/plain-north"]
-    known = second.following.servers.newest
+    known = second.store_sync.servers.newest_revision
     later = StoredItem(
         server["key"], b64decode(server["value"]), hosts.store.revision + 9
     )
@@ -434,15 +453,15 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_large_configuration_reaches_hosts_that_do_not_watch(hosts):
-    """A change that fits into no datagram is in force on a few hosts only.
+    """A change that exceeds the size of a datagram reaches all hosts.
 
     The operator adds five hundred routes.
     """
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
     large = configuration(5)
     first = large["routes"][0]
     large["routes"] += [
@@ -454,12 +473,12 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_refusal_of_the_placing_host_comes_at_once(hosts):
-    """Callers are sent to engines that are full, or wait 160 ms for a no.
+    """A refusal by the placing host reaches the caller of another host.
 
-    Two hosts of a region; one places for both. The region's servers are
-    paused, so it refuses what the other asks. The refusal must reach the
-    caller of the other host, and none of the ways round a silent host be
-    taken.
+    One of two hosts of a region places requests for both. The servers of the
+    region are paused, so it refuses what the other host asks for. The refusal
+    must not be treated as a silent placing host: requests would be sent to
+    full engines, or their callers wait 160 ms for the refusal.
     """
     hosts.add_host("h-north-2", "north", 2)
     names = ("h-north", "h-north-2")
@@ -497,11 +516,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_a_server_that_hangs_is_found_by_the_callers_that_leave(hosts):
-    """Reviews wait at an engine that hangs until their callers leave.
+    """A caller that disconnects from a silent server is evidence against it.
 
-    They must not be repeated, so no second server is tried. Each caller
-    leaves after seconds; unless that counts against the engine, it gets
-    the next review as well.
+    The requests must not be repeated, so no second server is tried, and each
+    caller disconnects after seconds. Unless that counts against the engine
+    that hangs, it gets the next request as well.
     """
     hosts.backends["engine-north"].mood = "silent"
     begun = hosts.begin("h-north", "/review/a", "r1", b"POST", b"", USAGE)
@@ -518,15 +537,15 @@
 
 @pytest_twisted.ensureDeferred
 async def test_what_was_refused_at_its_deadline_runs_nowhere(hosts):
-    """A server runs a request whose caller was told that it has not run.
+    """A request that was refused at its deadline as not run does not run.
 
-    Its time ended while a connection to the server was being opened.
+    Its deadline passes while a connection to the server is being opened.
     """
     connections = hosts.processes["h-north"].state.connections
     opened = connections.open
 
-    def open_late(lane, *, kept):
-        return task.deferLater(reactor, 0.6, opened, lane, kept=kept)
+    def open_late(endpoint, *, reuse):
+        return task.deferLater(reactor, 0.6, opened, endpoint, reuse=reuse)
 
     connections.open = open_late
     status, _, _ = await hosts.send(
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -5,23 +5,23 @@
 from testtools.matchers import Equals, HasLength
 from twisted.internet import defer, task
 
-from hyssopspring.entry.callers import LONGEST_START
-from hyssopspring.entry.holding import MOST_HELD, HoldingQueue
+from hyssopspring.entry.callers import MAX_STARTUP_WAIT_SECONDS
+from hyssopspring.entry.holding import MAX_QUEUED_REQUESTS, HoldingQueue
 
 
 class Request:
-    """A request whose caller may leave."""
+    """A request whose caller may disconnect."""
 
     def __init__(self):
         self.done = defer.Deferred()
 
     def notifyFinish(self):
-        """Return a deferred that fails when the caller leaves."""
+        """Return a deferred that fails when the caller disconnects."""
         return self.done
 
 
-class Desk:
-    """Note what is served and refused."""
+class Recorder:
+    """Record the requests that a queue serves and refuses."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -29,56 +29,60 @@
         self.refused = []
         self.queue = HoldingQueue(
             self.clock,
-            LONGEST_START,
-            lambda request, since: self.served.append((request, since)),
+            MAX_STARTUP_WAIT_SECONDS,
+            lambda request, arrived: self.served.append((request, arrived)),
             self.refused.append,
         )
 
 
 @pytest.fixture
-def desk():
-    """Return a `Desk`."""
-    return Desk()
+def recorder():
+    """Return a `Recorder`."""
+    return Recorder()
 
 
-def test_a_request_waits_for_the_first_configuration(desk):
-    """Callers are refused by a host that would serve 0.3 s later.
+def test_a_request_waits_for_the_first_configuration(recorder):
+    """A request is queued while the host reads its first configuration.
 
-    All hosts have lost power. A caller comes back once, and the first host
-    that answers is still reading the store in another region.
+    After a power failure of all hosts, the first host that responds is still
+    reading the store in another region. Callers retry only once, and would be
+    refused by a host that could serve them 0.3 s later.
     """
     request = Request()
-    desk.clock.advance(1.0)
-    assert desk.queue.hold(request, desk.clock.seconds())
-    desk.clock.advance(0.3)
-    desk.queue.check(desk.clock.seconds())
-    desk.queue.release()
-    assert_that(desk.served, Equals([(request, 1.0)]))
-    assert_that(desk.refused, HasLength(0))
+    recorder.clock.advance(1.0)
+    assert recorder.queue.enqueue(request, recorder.clock.seconds())
+    recorder.clock.advance(0.3)
+    recorder.queue.refuse_expired(recorder.clock.seconds())
+    recorder.queue.release()
+    assert_that(recorder.served, Equals([(request, 1.0)]))
+    assert_that(recorder.refused, HasLength(0))
 
 
-def test_it_is_refused_once_the_store_does_not_answer(desk):
-    """Callers wait till their deadline while the store is silent."""
+def test_it_is_refused_once_the_store_does_not_answer(recorder):
+    """Queued requests are refused in time while the store is silent.
+
+    Otherwise callers would wait until their deadline.
+    """
     request = Request()
-    desk.queue.hold(request, desk.clock.seconds())
-    desk.clock.advance(LONGEST_START)
-    desk.queue.check(desk.clock.seconds())
-    desk.queue.release()
-    assert_that(desk.refused, Equals([request]))
-    assert_that(desk.served, HasLength(0))
+    recorder.queue.enqueue(request, recorder.clock.seconds())
+    recorder.clock.advance(MAX_STARTUP_WAIT_SECONDS)
+    recorder.queue.refuse_expired(recorder.clock.seconds())
+    recorder.queue.release()
+    assert_that(recorder.refused, Equals([request]))
+    assert_that(recorder.served, HasLength(0))
 
 
-def test_a_caller_that_left_is_not_served(desk):
-    """A request runs whose caller has gone while it waited."""
+def test_a_caller_that_left_is_not_served(recorder):
+    """A request whose caller disconnects while it is queued does not run."""
     request = Request()
-    desk.queue.hold(request, desk.clock.seconds())
+    recorder.queue.enqueue(request, recorder.clock.seconds())
     request.done.errback(ConnectionError("left"))
-    desk.queue.release()
-    assert_that(desk.served, HasLength(0))
+    recorder.queue.release()
+    assert_that(recorder.served, HasLength(0))
 
 
-def test_few_wait_at_once(desk):
-    """A host runs out of memory before it has served anyone."""
-    for _ in range(MOST_HELD):
-        assert desk.queue.hold(Request(), 0.0)
-    assert not desk.queue.hold(Request(), 0.0)
+def test_few_wait_at_once(recorder):
+    """The queue is bounded, so that a starting host keeps free memory."""
+    for _ in range(MAX_QUEUED_REQUESTS):
+        assert recorder.queue.enqueue(Request(), 0.0)
+    assert not recorder.queue.enqueue(Request(), 0.0)
--- a/tests/test_lines.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines and measures: bounded, and enough to find a cause."""
+"""Log lines and metrics: bounded, and sufficient to find a cause."""
 
 import json
 
@@ -8,12 +8,12 @@
 from twisted.internet import task
 
 from hyssopspring.core.events import EventKind, HybridClock, Timeline
-from hyssopspring.entry.lines import (
-    BURST,
-    LINES_A_SECOND,
-    LineWriter,
+from hyssopspring.entry.logwriter import (
+    BURST_LINES,
+    LINES_PER_SECOND,
+    LogWriter,
 )
-from hyssopspring.entry.measures import Measures
+from hyssopspring.entry.prometheus import PrometheusMetrics
 from hyssopspring.records import cause_of, read_records
 
 
@@ -25,34 +25,32 @@
 
 @pytest.fixture
 def written():
-    """Return the list that takes what is written."""
+    """Return the list that collects the written bytes."""
     return []
 
 
 @pytest.fixture
 def lines(clock, written):
-    """Return a `LineWriter` whose reader takes all."""
+    """Return a `LogWriter` whose reader accepts everything."""
 
     def write(data):
         written.append(data)
         return len(data)
 
-    return LineWriter(clock, write)
+    return LogWriter(clock, write)
 
 
 def rows(written):
-    """Return the decoded lines."""
+    """Return the decoded log lines."""
     text = b"".join(written).decode()
     return [json.loads(line) for line in text.splitlines()]
 
 
-def test_a_flood_of_decisions_does_not_become_a_flood_of_lines(
-    clock, lines, written
-):
-    """The log of an overloaded host costs more than its requests.
+def test_log_rate_is_bounded_under_overload(clock, lines, written):
+    """Guards against a log that costs more than the requests it records.
 
-    Ten thousand decisions come in ten seconds. What exceeds the rate is
-    counted; refusals and errors are written before routine.
+    Ten thousand decisions arrive in ten seconds. Lines that exceed the rate
+    are dropped and counted, routine lines before refusals and errors.
     """
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[lines])
     for number in range(10_000):
@@ -61,31 +59,31 @@
         clock.advance(0.001)
     lines.flush()
     got = rows(written)
-    assert len(got) <= BURST + 10 * LINES_A_SECOND + 1
+    assert len(got) <= BURST_LINES + 10 * LINES_PER_SECOND + 1
     kinds = [row["event"] for row in got]
     assert_that(kinds.count("unexpected"), Equals(1000))
     left_out = sum(r["lines"] for r in got if r["event"] == "left_out")
     assert_that(len(got) - 1 + left_out, Equals(10_000))
 
 
-def test_a_reader_that_stops_reading_costs_lines_not_requests(clock):
-    """The process stands still, since nobody reads its log."""
+def test_a_stalled_log_reader_loses_lines_without_blocking(clock):
+    """Guards against a process that blocks because its log is not read."""
 
     def write(data):
         raise BlockingIOError
 
-    writer = LineWriter(clock, write)
+    writer = LogWriter(clock, write)
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[writer])
     for number in range(20_000):
         timeline.note(EventKind.UNEXPECTED, request=f"r{number}")
         clock.advance(0.01)
         writer.flush()
-    assert len(writer.rest) < 1_000_000
-    assert b'"event":"left_out"' in writer.rest or writer.left_out
+    assert len(writer.unwritten) < 1_000_000
+    assert b'"event":"left_out"' in writer.unwritten or writer.lines_dropped
 
 
-def test_a_part_that_was_taken_is_not_written_again(clock, written):
-    """A line is cut in two, and its start stands there twice."""
+def test_a_partial_write_is_not_repeated(clock, written):
+    """Guards against writing the start of a line twice after a short write."""
     taken = []
 
     def write(data):
@@ -93,7 +91,7 @@
         taken.append(part)
         return len(part)
 
-    writer = LineWriter(clock, write)
+    writer = LogWriter(clock, write)
     timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[writer])
     timeline.note(EventKind.STARTED)
     for _ in range(40):
@@ -101,13 +99,13 @@
     assert_that(rows(taken)[0]["event"], Equals("started"))
 
 
-def test_measures_count_events_and_times(clock):
-    """The text holds counters, histograms and values of this moment."""
-    measures = Measures(lambda: {"hosts_live": 7})
-    timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[measures])
+def test_metrics_count_events_and_times(clock):
+    """The exposition contains counters, histograms and current gauges."""
+    metrics = PrometheusMetrics(lambda: {"hosts_live": 7})
+    timeline = Timeline("h1", HybridClock(clock.seconds), listeners=[metrics])
     timeline.note(EventKind.PLACED, predicted=0.25)
     timeline.note(EventKind.ANSWERED, first_ms=500, took_ms=900)
-    text = measures.text()
+    text = metrics.text()
     for line in (
         'hyssop_events_total{event="answered"} 1',
         "hyssop_hosts_live 7",
@@ -120,7 +118,7 @@
 
 
 def test_records_of_several_processes_are_put_in_order():
-    """Marks before the brace and lines that are none are left out."""
+    """Prefixes before the JSON object and other lines are skipped."""
     text = [
         '9.1 h2 {"ms":2,"n":0,"host":"h2","event":"relayed","request":"r"}',
         "Traceback {not a record}",
@@ -173,7 +171,7 @@
     ],
 )
 def test_the_cause_is_found_from_the_lines_alone(events, named):
-    """On call has the lines of a request and nothing else."""
+    """Log lines of a request alone must suffice for the engineer on call."""
     lines = [
         json.dumps(
             {
@@ -192,11 +190,12 @@
         assert_that(cause, Contains(part))
 
 
-def test_a_late_answer_names_the_wrong_prediction_and_who_stood_before():
-    """A caller waited for a second, and the lines say all was well.
+def test_the_cause_of_a_late_answer_names_the_wrong_prediction():
+    """Guards against log lines that do not explain a late answer.
 
-    It was placed where an answer was predicted in 36 ms. A long prompt
-    that is less urgent had been sent to the same server just before.
+    The caller waited for a second, although the answer was predicted in
+    36 ms. A long, less urgent prompt had been sent to the same server just
+    before.
     """
     rows = [
         (0, "placed", "long", {"predicted": "0.9", "urgency": "6"}),
--- a/tests/test_provenance.py
+++ b/tests/test_provenance.py
@@ -1,4 +1,4 @@
-"""From a request's lines to the configuration that each host held."""
+"""From the log lines of a request to the configuration of each host."""
 
 import json
 
@@ -12,9 +12,9 @@
 
 
 def details(hosts, event, **wanted):
-    """Return the newest line of an event that has what is *wanted*."""
+    """Return the newest line of an event that has the *wanted* fields."""
     for process in hosts.processes.values():
-        process.lines.flush()
+        process.log_writer.flush()
     rows = [json.loads(line) for line in hosts.lines]
     found = [
         row
@@ -25,8 +25,8 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_the_line_of_a_request_tells_the_version_and_who_told_it(hosts):
-    """A request is handled by an older version, and no line says why."""
+async def test_the_line_of_a_request_names_the_version_and_its_source(hosts):
+    """Guards against log lines that do not explain an outdated version."""
     hosts.store.put_json("op/config", configuration(7))
     north = hosts.processes["h-north"]
     await hosts.until(lambda: north.keeper.version == 7)
@@ -56,8 +56,11 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_relayed_request_tells_the_versions_of_both_hosts(hosts):
-    """Two regions differ in their version, and one line shows only one."""
+async def test_a_relayed_request_logs_the_versions_of_both_hosts(hosts):
+    """Guards against a relayed request that is logged with one version only.
+
+    The two regions may have different versions in force.
+    """
     answer = await hosts.send("h-north", "/bound/a", identifier="r3")
     assert_that(answer[0], Equals(200))
     relayed = details(hosts, "relayed", request="r3")
@@ -67,13 +70,13 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_a_host_that_is_behind_says_so_once(hosts):
-    """A host stays behind its neighbours without a word."""
+async def test_a_host_that_is_behind_logs_it_once(hosts):
+    """Guards against a host that stays behind its neighbours unlogged."""
     hosts.add_host("h-north-2", "north", 5)
     await hosts.settled()
     second = hosts.processes["h-north-2"]
-    second.following.stop()
-    second.following.choose_watching = lambda now: None
+    second.store_sync.stop()
+    second.store_sync.choose_watching = lambda now: None
     second.membership.handlers[StoreChange] = lambda message: None
     hosts.store.put_json("op/config", configuration(8))
     await hosts.until(lambda: second.keeper.version == 8)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,94 +1,104 @@
-"""What a region believes of the servers of others, between reports."""
+"""Estimated load of the servers of other regions between reports."""
 
 from testtools.assertions import assert_that
 from testtools.matchers import Equals, HasLength
 
 from hyssopspring.core.hashing import short_id
 from hyssopspring.traffic.regions import (
-    REMEMBERED,
-    REPORT_LAG,
-    Brought,
+    CACHED_PART_TTL_SECONDS,
+    REPORT_LAG_SECONDS,
+    AddedWork,
     CachedParts,
-    FarLoad,
     RegionLoad,
-    Room,
+    RemoteLoad,
+    ServerCapacity,
 )
 from hyssopspring.traffic.work import Demand
 
-WORK = 0.3
-"""Seconds of one request at an engine."""
+WORK_SECONDS = 0.3
+"""Seconds of work of one request on an engine."""
 
-REQUEST = Brought(WORK, 0, Demand())
+REQUEST = AddedWork(WORK_SECONDS, 0, Demand())
 """An urgent request with that much work."""
 
 
-def room(wait, used):
-    """Return a `Room` in which requests of all ranks wait alike."""
-    return Room((wait,) * 3, used)
+def capacity(wait, occupancy):
+    """Return a `ServerCapacity` in which all ranks wait equally long."""
+    return ServerCapacity((wait,) * 3, occupancy)
 
 
-def told(*rooms, slots=48, now=0.0):
-    """Return a `FarLoad` that has just heard of *rooms*."""
-    load = FarLoad()
-    load.take(RegionLoad(slots, tuple(rooms)), now)
+def reported(*capacities, slots=48, now=0.0):
+    """Return a `RemoteLoad` that has just received *capacities*."""
+    load = RemoteLoad()
+    load.apply_report(RegionLoad(slots, tuple(capacities)), now)
     return load
 
 
-def test_a_peak_is_spread_over_all_servers_that_were_told():
-    """Half of the peak is kept at home although another region is idle.
+def test_a_peak_is_spread_over_all_reported_servers():
+    """Guard against keeping half of a peak while another region is idle.
 
-    A region counts what it sends between two reports. Counted against the
-    region as a whole its best server seems to fill alone.
+    A region counts the requests that it sends between two reports. If they
+    were counted for the region as a whole, its best server would seem to fill
+    up while the others stay idle.
     """
-    load = told(*[room(0.0, 0.0)] * 4)
+    load = reported(*[capacity(0.0, 0.0)] * 4)
     for _ in range(4):
         load.count(REQUEST, 0.0)
     waits = [server.waits[0] for server in load.servers]
-    assert_that(waits, Equals([WORK] * 4))
+    assert_that(waits, Equals([WORK_SECONDS] * 4))
 
 
 def test_what_was_sent_runs_down():
-    """Work that was sent a while ago no longer keeps requests away."""
-    load = told(room(0.5, 0.2))
+    """Guard against work sent a while ago that still repels requests."""
+    load = reported(capacity(0.5, 0.2))
     assert_that(load.best(REQUEST, 0.2).waits[0], Equals(0.3))
     assert_that(load.best(REQUEST, 2.0).waits[0], Equals(0.0))
 
 
 def test_a_report_does_not_hide_what_is_on_its_way():
-    """A region is sent twice what it can take, after each report.
+    """Guard against sending a region twice its capacity after a report.
 
-    A report left before the last requests arrived there. Taken as it is,
-    it would offer the same room again.
+    A report was sent before the last requests arrived there. Applied as it is,
+    it would offer the same capacity again.
     """
-    load = told(room(0.0, 0.0))
+    load = reported(capacity(0.0, 0.0))
     load.count(REQUEST, 0.0)
-    load.take(RegionLoad(48, (room(0.0, 0.0),)), REPORT_LAG / 2)
-    assert_that(load.servers[0].waits[0], Equals(WORK))
-    load.take(RegionLoad(48, (room(0.1, 0.0),)), REPORT_LAG * 2)
+    load.apply_report(
+        RegionLoad(48, (capacity(0.0, 0.0),)), REPORT_LAG_SECONDS / 2
+    )
+    assert_that(load.servers[0].waits[0], Equals(WORK_SECONDS))
+    load.apply_report(
+        RegionLoad(48, (capacity(0.1, 0.0),)), REPORT_LAG_SECONDS * 2
+    )
     assert_that(load.servers[0].waits[0], Equals(0.1))
     assert_that(load.sent, HasLength(0))
 
 
 def test_parts_that_were_sent_are_known_for_a_while():
-    """The same shared parts are read in two regions by turns."""
+    """Guard against alternating prefills of the same parts in two regions."""
     demand = Demand(parts=(("shared", 600), ("own", 100)), tokens_in=700)
     sent = CachedParts()
-    assert_that(sent.fresh_tokens(demand, 0.0), Equals(700))
-    sent.note(demand.parts[:1], 0.0)
-    assert_that(sent.fresh_tokens(demand, 1.0), Equals(100))
-    assert_that(sent.fresh_tokens(demand, REMEMBERED), Equals(700))
+    assert_that(sent.uncached_tokens(demand, 0.0), Equals(700))
+    sent.add_parts(demand.parts[:1], 0.0)
+    assert_that(sent.uncached_tokens(demand, 1.0), Equals(100))
+    assert_that(
+        sent.uncached_tokens(demand, CACHED_PART_TTL_SECONDS), Equals(700)
+    )
 
 
 def test_parts_that_a_region_has_read_count_as_cached_there():
-    """Two regions read the same subject within seconds of each other.
+    """Guard against two regions that prefill a subject within seconds.
 
-    The other region has read the parts for its own callers and tells so;
-    what it told eight seconds ago may be gone.
+    The other region has prefilled the parts for its own callers and reports
+    them. Parts reported eight seconds ago may have been evicted.
     """
     parts = CachedParts()
     demand = Demand(
         parts=(("a", 500), ("b", 4000), ("own", 700)), tokens_in=5200
     )
-    parts.note_names([short_id("a"), short_id("b")], 1.0)
-    assert_that(parts.fresh_tokens(demand, 1.1), Equals(700))
-    assert_that(parts.fresh_tokens(demand, 1.0 + REMEMBERED), Equals(5200))
+    parts.add_names([short_id("a"), short_id("b")], 1.0)
+    assert_that(parts.uncached_tokens(demand, 1.1), Equals(700))
+    assert_that(
+        parts.uncached_tokens(demand, 1.0 + CACHED_PART_TTL_SECONDS),
+        Equals(5200),
+    )
