--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -527,7 +527,7 @@
     begun.addErrback(lambda _: None)
     await task.deferLater(reactor, 1.2, begun.cancel)
     evidence = hosts.processes["h-north"].placer.evidence_of("engine-north")
-    await hosts.until(lambda: not evidence.open(reactor.seconds()))
+    await hosts.until(lambda: not evidence.is_available(reactor.seconds()))
     status, _, body = await hosts.send(
         "h-north", "/review/b", identifier="r2", method=b"POST", **USAGE
     )
