--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashes.py
@@ -78,10 +78,10 @@
         if verdict is Verdict.BLOCKED:
             # It is tried again when it is forgotten, and not sooner.
             return NotRun(Reason.CRASHES_SERVERS, RETENTION_SECONDS)
-        waits = verdict is Verdict.ALONE and self.apart - {request.id}
-        if verdict is Verdict.HELD or waits:
+        waits = verdict is Verdict.ISOLATED and self.apart - {request.id}
+        if verdict is Verdict.DEFERRED or waits:
             return NotRun(Reason.SUSPECTED, HELD_RETRY_AFTER)
-        if verdict is Verdict.ALONE:
+        if verdict is Verdict.ISOLATED:
             self.apart.add(request.id)
         return NOTHING
 
