--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,9 +19,9 @@
     encode_accepted,
 )
 from hyssopspring.core.claims import (
-    SHARDS,
+    SHARD_COUNT,
     ClaimIndex,
-    Mark,
+    ClaimState,
     Record,
     Segment,
     encode_segment,
@@ -99,7 +99,7 @@
         for number in range(count)
     )
     for name in table.servers:
-        table.take_report(name, report(1))
+        table.apply_report(name, report(1))
     return table
 
 
@@ -203,7 +203,7 @@
             (
                 models,
                 timed(
-                    lambda d=data, s=signature, c=centres: c.take(
+                    lambda d=data, s=signature, c=centres: c.apply_summary(
                         centre_summary(hear(d, s), 0.0)
                     ),
                     200,
@@ -231,7 +231,7 @@
             (
                 servers,
                 timed(
-                    lambda t=table, n=names, c=counter: t.take_report(
+                    lambda t=table, n=names, c=counter: t.apply_report(
                         n[0], report(next(c))
                     ),
                     2000,
@@ -313,7 +313,9 @@
     memory, folding, sizes = [], [], []
     for count in (1_000, 10_000, 50_000):
         records = [
-            Record(rng.randbytes(16), rng.randbytes(8), Mark.CLAIMED, 10**9)
+            Record(
+                rng.randbytes(16), rng.randbytes(8), ClaimState.CLAIMED, 10**9
+            )
             for _ in range(count)
         ]
         gc.collect()
@@ -321,7 +323,7 @@
         before = tracemalloc.get_traced_memory()[0]
         index = ClaimIndex()
         for record in records:
-            index.fold(record)
+            index.apply(record)
         memory.append(
             (count, (tracemalloc.get_traced_memory()[0] - before) / 1024)
         )
@@ -448,12 +450,12 @@
         f"judging {at(configuration[1], WORKSPACES):.0f} ms a change"
     )
     keys = KEYED_A_SECOND * RETENTION_HOURS * 3600
-    owned = keys / SHARDS
+    owned = keys / SHARD_COUNT
     print(
         f"claims at {KEYED_A_SECOND} keyed a second, kept for "
         f"{RETENTION_HOURS} h: {keys:,} keys, "
         f"{owned * (claims[0][1] + 0.11) / 1024:.1f} MB at each owner of "
-        f"one of {SHARDS} shards, "
+        f"one of {SHARD_COUNT} shards, "
         f"{keys * claims[2][1] / 1024:.0f} MB stored"
     )
     print(
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -188,13 +188,13 @@
         now = self.clock.seconds()
         for name, engine in self.engines.items():
             region = name.rsplit("-", 1)[0]
-            self.take_report(region, name, engine.report(), now)
+            self.apply_report(region, name, engine.report(), now)
         for region, table in self.tables.items():
-            targets = dict(table.summary(now))
+            targets = dict(table.summarize(now))
             for other, centres in self.centres.items():
                 if other == region or not self.reaches(region, other):
                     continue
-                centres.take(
+                centres.apply_summary(
                     CentreSummary(
                         region=region,
                         data_centre=region,
@@ -205,9 +205,9 @@
                     )
                 )
 
-    def take_report(self, region, name, report, now):
+    def apply_report(self, region, name, report, now):
         """Note one engine's load report at its region's host."""
-        self.tables[region].take_report(
+        self.tables[region].apply_report(
             name,
             LoadReport(
                 incarnation=short_id(report["incarnation"]),
@@ -327,7 +327,7 @@
     def forward(self, region):
         """Have another region's host choose a server of its own."""
         world = self.world
-        world.centres[self.asked.home].begin(region)
+        world.centres[self.asked.home].record_forward(region)
         name = NOTHING
         if world.reaches(self.asked.home, region):
             remote = Request(
@@ -369,7 +369,7 @@
         if name not in world.engines:
             self.next()
             return
-        world.tables[region].begin(name)
+        world.tables[region].record_attempt(name)
         world.in_flight[name] = world.in_flight.get(name, 0) + 1
         away = ROUND_TRIP / 2 if region != self.asked.home else 0.0
         began = world.clock.seconds()
@@ -421,21 +421,21 @@
         """Count the end of an attempt at its server."""
         world = self.world
         world.in_flight[name] -= 1
-        wait = making = NOTHING
+        wait = transfer_seconds = NOTHING
         if first is not NOTHING:
             wait = first - began
-            making = world.clock.seconds() - first
-        world.tables[region].finish(
+            transfer_seconds = world.clock.seconds() - first
+        world.tables[region].record_attempt_end(
             name,
             world.clock.seconds(),
             failed=not isinstance(outcome, Answered),
             first_token=wait,
-            making=making,
+            transfer_seconds=transfer_seconds,
         )
         if name not in world.engines:
             return
         report = world.engines[name].report()
-        world.take_report(region, name, report, world.clock.seconds())
+        world.apply_report(region, name, report, world.clock.seconds())
 
     def ended(self, region, name, outcome):
         """Note the outcome and go on if there is none yet."""
--- a/src/hyssopspring/config/acceptance.py
+++ b/src/hyssopspring/config/acceptance.py
@@ -9,7 +9,7 @@
     FileState,
     Proposal,
     Verdict,
-    lost_rights,
+    regions_losing_rights,
 )
 from ..core.sentinels import NOTHING
 from .checks import find_problems
@@ -175,7 +175,7 @@
         """Return the next `Accepted`, with a proposal if rights go."""
         configuration = build(merge(self.parsed), self.generation)
         in_force = self.accepted.configuration
-        affected = lost_rights(in_force, configuration)
+        affected = regions_losing_rights(in_force, configuration)
         if not affected:
             return replace(
                 self.accepted,
--- a/src/hyssopspring/config/accepting.py
+++ b/src/hyssopspring/config/accepting.py
@@ -6,7 +6,7 @@
 
 from ..core.accepted import (
     ACCEPTED_KEY,
-    FOLDER_PREFIX,
+    FILES_PREFIX,
     Accepted,
     Verdict,
     decode_accepted,
@@ -15,7 +15,7 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, PlatformError
 from ..core.sentinels import NOTHING
-from ..core.trust import RESTRICTION_HOLD
+from ..core.trust import RESTRICTION_HOLD_SECONDS
 from ..stores.keyvalues import Applied
 from .acceptance import (
     Judge,
@@ -70,7 +70,7 @@
 
     def start(self):
         """Watch the folder."""
-        self.watch = self.store.watch(FOLDER_PREFIX, self.changed)
+        self.watch = self.store.watch(FILES_PREFIX, self.changed)
 
     def stop(self):
         """End the watch."""
@@ -115,9 +115,9 @@
         if held.accepted.proposal is not None:
             await self.settle(held)
             return False
-        listing = await self.store.list(FOLDER_PREFIX)
+        listing = await self.store.list(FILES_PREFIX)
         folder = {
-            entry.key[len(FOLDER_PREFIX) :]: RawFile(
+            entry.key[len(FILES_PREFIX) :]: RawFile(
                 entry.value.decode("utf-8", "replace"), entry.revision
             )
             for entry in listing.entries
@@ -207,7 +207,10 @@
                 since = NOTHING
             elif since is NOTHING:
                 since = now
-            if since is not NOTHING and now - since >= RESTRICTION_HOLD:
+            if (
+                since is not NOTHING
+                and now - since >= RESTRICTION_HOLD_SECONDS
+            ):
                 await self.swap(held, confirm(held.accepted))
                 return
             if unheard and now >= give_up:
--- a/src/hyssopspring/core/accepted.py
+++ b/src/hyssopspring/core/accepted.py
@@ -11,7 +11,7 @@
 from .sentinels import NOTHING
 
 ACCEPTED_KEY = "/hyssop/accepted"
-FOLDER_PREFIX = "/hyssop/files/"
+FILES_PREFIX = "/hyssop/files/"
 
 
 class Verdict(enum.StrEnum):
@@ -92,7 +92,9 @@
         """
         if self.proposal is None:
             return self.configuration
-        return stricter(self.configuration, self.proposal.configuration)
+        return intersect_configurations(
+            self.configuration, self.proposal.configuration
+        )
 
 
 def encode_accepted(accepted):
@@ -124,11 +126,11 @@
         applied: Called with each new `Accepted`.
     """
 
-    def __init__(self, applied=NOTHING):
+    def __init__(self, on_applied=NOTHING):
         self.accepted = Accepted()
         self.enforced = Configuration()
         self.key_owners = {}
-        self.applied = applied
+        self.on_applied = on_applied
 
     @property
     def generation(self):
@@ -152,26 +154,26 @@
             for digest in workspace.keys.values()
         }
         ensure(self.generation > before, "the generation went back")
-        if self.applied is not NOTHING:
-            self.applied(accepted)
+        if self.on_applied is not NOTHING:
+            self.on_applied(accepted)
         return True
 
 
-def stricter(one, other):
+def intersect_configurations(one, other):
     """Return *one* without any right that *other* does not give."""
     return replace(
         one,
         workspaces={
-            name: stricter_workspace(rights, other.workspaces[name])
+            name: intersect_workspaces(rights, other.workspaces[name])
             for name, rights in one.workspaces.items()
             if name in other.workspaces
         },
-        models=stricter_offers(one.models, other.models),
-        services=stricter_offers(one.services, other.services),
+        models=intersect_offers(one.models, other.models),
+        services=intersect_offers(one.services, other.services),
     )
 
 
-def stricter_workspace(one, other):
+def intersect_workspaces(one, other):
     """Return the rights that both of two workspaces' versions give."""
     keys = {
         name: digest
@@ -180,14 +182,16 @@
     }
     return Workspace(
         home=one.home,
-        residency=intersect(one.residency, other.residency),
+        residency=intersect_regions(one.residency, other.residency),
         keys=keys,
         limits=Limits(
-            requests_per_second=least(
+            requests_per_second=lower_limit(
                 one.limits.requests_per_second,
                 other.limits.requests_per_second,
             ),
-            concurrent=least(one.limits.concurrent, other.limits.concurrent),
+            concurrent=lower_limit(
+                one.limits.concurrent, other.limits.concurrent
+            ),
         ),
         weights=one.weights,
         repeatable=one.repeatable and other.repeatable,
@@ -196,11 +200,11 @@
     )
 
 
-def stricter_offers(one, other):
+def intersect_offers(one, other):
     """Return the offers that are in both mappings, at their strictest."""
     return {
         name: Offer(
-            regions=intersect(offer.regions, other[name].regions),
+            regions=intersect_regions(offer.regions, other[name].regions),
             repeatable=offer.repeatable and other[name].repeatable,
             deadline_ms=min(offer.deadline_ms, other[name].deadline_ms),
             attempts=min(offer.attempts, other[name].attempts),
@@ -215,7 +219,7 @@
     }
 
 
-def intersect(one, other):
+def intersect_regions(one, other):
     """Intersect two sets of regions, where None stands for all."""
     if one is None:
         return other
@@ -224,7 +228,7 @@
     return one & other
 
 
-def least(one, other):
+def lower_limit(one, other):
     """Return the lower of two limits, where None stands for no limit."""
     if one is None:
         return other
@@ -233,7 +237,7 @@
     return min(one, other)
 
 
-def lost_rights(old, new):
+def regions_losing_rights(old, new):
     """Return the regions whose hosts lose a right from *old* to *new*.
 
     Args:
@@ -244,35 +248,37 @@
         Set of region names. A host elsewhere may act on the old
         configuration without harm, since no right of its own is lost.
     """
-    everywhere = frozenset(old.regions) | frozenset(new.regions)
-    allowed = stricter(old, new)
+    all_regions = frozenset(old.regions) | frozenset(new.regions)
+    allowed = intersect_configurations(old, new)
     affected = set()
     for kind in ("workspaces", "models", "services"):
         before = getattr(old, kind)
         after = getattr(allowed, kind)
         for name, rights in before.items():
-            affected |= regions_losing(rights, after.get(name), everywhere)
+            affected |= regions_with_reduced_rights(
+                rights, after.get(name), all_regions
+            )
     return frozenset(affected)
 
 
-def regions_losing(before, after, everywhere):
+def regions_with_reduced_rights(before, after, all_regions):
     """Return the regions in which *after* gives less than *before*."""
-    had = getattr(before, "residency", None)
-    if had is None:
-        had = getattr(before, "regions", None)
-    had = everywhere if had is None else had
+    regions_before = getattr(before, "residency", None)
+    if regions_before is None:
+        regions_before = getattr(before, "regions", None)
+    regions_before = all_regions if regions_before is None else regions_before
     if after is None:
-        return set(had)
-    if tightened(before, after):
-        return set(everywhere)
-    keeps = getattr(after, "residency", None)
-    if keeps is None:
-        keeps = getattr(after, "regions", None)
-    keeps = everywhere if keeps is None else keeps
-    return set(had) - set(keeps)
+        return set(regions_before)
+    if is_reduced(before, after):
+        return set(all_regions)
+    regions_after = getattr(after, "residency", None)
+    if regions_after is None:
+        regions_after = getattr(after, "regions", None)
+    regions_after = all_regions if regions_after is None else regions_after
+    return set(regions_before) - set(regions_after)
 
 
-def tightened(before, after):
+def is_reduced(before, after):
     """Whether a right that is not tied to a region was taken."""
     if before.repeatable and not after.repeatable:
         return True
--- a/src/hyssopspring/core/budgets.py
+++ b/src/hyssopspring/core/budgets.py
@@ -1,7 +1,7 @@
 """Budgets that keep retries a small share of the traffic."""
 
-RETRY_SHARE = 0.2
-RETRY_RESERVE = 10.0
+RETRY_RATIO = 0.2
+MAX_RETRY_BALANCE = 10.0
 
 
 class RetryBudget:
@@ -17,18 +17,18 @@
         reserve: Most retries that can be saved up.
     """
 
-    def __init__(self, *, share=RETRY_SHARE, reserve=RETRY_RESERVE):
-        self.share = share
-        self.reserve = reserve
-        self.saved = reserve
+    def __init__(self, *, ratio=RETRY_RATIO, max_balance=MAX_RETRY_BALANCE):
+        self.ratio = ratio
+        self.max_balance = max_balance
+        self.balance = max_balance
 
-    def earn(self):
+    def deposit(self):
         """Count one first attempt."""
-        self.saved = min(self.reserve, self.saved + self.share)
+        self.balance = min(self.max_balance, self.balance + self.ratio)
 
-    def spend(self):
+    def try_withdraw(self):
         """Take one retry and return whether there was one to take."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         return True
--- a/src/hyssopspring/core/choice.py
+++ b/src/hyssopspring/core/choice.py
@@ -3,12 +3,12 @@
 from .exceptions import UnknownPolicyError
 from .hashing import hash_text
 
-CHOICES = {}
-DEFAULT_CHOICE = "affinity"
-AFFINE_SERVERS = 2
+POLICIES = {}
+DEFAULT_POLICY = "affinity"
+AFFINITY_SERVERS = 2
 
 
-def choice(name):
+def register_policy(name):
     """Register a policy under *name*.
 
     A policy takes the request, a non-empty list of servers, the time in
@@ -16,45 +16,45 @@
     """
 
     def register(policy):
-        CHOICES[name] = policy
+        POLICIES[name] = policy
         return policy
 
     return register
 
 
-def find_choice(name):
+def find_policy(name):
     """Return the policy called *name*.
 
     Raises:
         UnknownPolicyError: No such policy is registered.
     """
     try:
-        return CHOICES[name]
+        return POLICIES[name]
     except KeyError:
         raise UnknownPolicyError(name) from None
 
 
-@choice("round_robin")
+@register_policy("round_robin")
 def round_robin(request, servers, now, rng):
     """Take the servers in turn, by the number of the request."""
-    turn = hash_text(request.id)
-    return servers[turn % len(servers)]
+    request_hash = hash_text(request.id)
+    return servers[request_hash % len(servers)]
 
 
-@choice("least_in_flight")
+@register_policy("least_in_flight")
 def least_in_flight(request, servers, now, rng):
     """Take the server with the fewest own requests."""
     return min(servers, key=lambda server: server.in_flight)
 
 
-@choice("two_choices")
+@register_policy("two_choices")
 def two_choices(request, servers, now, rng):
     """Take the less loaded of two servers drawn at random."""
     drawn = [rng.choice(servers), rng.choice(servers)]
     return min(drawn, key=lambda server: relative_load(server, now))
 
 
-@choice("affinity")
+@register_policy("affinity")
 def affinity(request, servers, now, rng):
     """Prefer the servers that likely hold the prompt's start.
 
@@ -64,14 +64,14 @@
     elsewhere. Random choices spread what is passed over, which keeps
     hosts with the same old reports from all picking the same server.
     """
-    for server in rank(request.prefix, servers)[:AFFINE_SERVERS]:
+    for server in rank_servers(request.prefix, servers)[:AFFINITY_SERVERS]:
         if relative_load(server, now) <= 1.0:
             return server
     free = [s for s in servers if relative_load(s, now) <= 1.0]
     return two_choices(request, free or servers, now, rng)
 
 
-def rank(prefix, servers):
+def rank_servers(prefix, servers):
     """Order *servers* by rendezvous hashing of *prefix*."""
     return sorted(
         servers,
--- a/src/hyssopspring/core/claims.py
+++ b/src/hyssopspring/core/claims.py
@@ -14,13 +14,13 @@
 from .exceptions import ProtocolError, ensure
 from .sentinels import NOTHING
 
-SHARDS = 32
+SHARD_COUNT = 32
 DIGEST_SIZE = 16
-SEGMENT_RECORDS = 400
-RETENTION = 3 * 3600.0
+MAX_SEGMENT_RECORDS = 400
+RETENTION_SECONDS = 3 * 3600.0
 
 
-class Mark(enum.IntEnum):
+class ClaimState(enum.IntEnum):
     """What a record says of its key."""
 
     CLAIMED = 0
@@ -42,8 +42,8 @@
 
     digest: bytes
     nonce: bytes
-    mark: Mark
-    until: int
+    state: ClaimState
+    expires_at: int
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
@@ -73,18 +73,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holding:
+class Claim:
     """Who holds a key.
 
     Attributes:
         nonce: The claimant.
-        mark: `Mark.CLAIMED`, `Mark.DONE` or `Mark.UNKNOWN`.
+        mark: `ClaimState.CLAIMED`, `ClaimState.DONE` or `ClaimState.UNKNOWN`.
         until: Second after which a mere claim counts as unknown.
     """
 
     nonce: bytes
-    mark: Mark
-    until: int
+    state: ClaimState
+    expires_at: int
 
 
 @dataclass(slots=True)
@@ -92,42 +92,42 @@
     """State of all keys of a shard, folded from its log.
 
     Attributes:
-        holdings: `Holding` by digest.
+        holdings: `Claim` by digest.
         number: Segment up to which the log is folded.
         count: Records of that segment that are folded.
         revision: Revision of the open segment that was folded last.
         sealed: Second at which each kept segment was closed.
     """
 
-    holdings: dict[bytes, Holding] = field(default_factory=dict)
+    claims: dict[bytes, Claim] = field(default_factory=dict)
     number: int = -1
     count: int = 0
     revision: int = 0
     sealed: dict[int, int] = field(default_factory=dict)
 
-    def fold(self, record):
+    def apply(self, record):
         """Apply one record.
 
         The first claim of a free key holds it. A record of another
         claimant changes nothing, wherever it stands in the log.
         """
-        held = self.holdings.get(record.digest)
-        if record.mark is Mark.CLAIMED:
-            if held is None:
-                self.holdings[record.digest] = Holding(
-                    record.nonce, Mark.CLAIMED, record.until
+        claim = self.claims.get(record.digest)
+        if record.state is ClaimState.CLAIMED:
+            if claim is None:
+                self.claims[record.digest] = Claim(
+                    record.nonce, ClaimState.CLAIMED, record.expires_at
                 )
             return
-        if held is None or held.nonce != record.nonce:
+        if claim is None or claim.nonce != record.nonce:
             return
-        if held.mark is not Mark.CLAIMED:
+        if claim.state is not ClaimState.CLAIMED:
             return
-        if record.mark is Mark.RELEASED:
-            del self.holdings[record.digest]
+        if record.state is ClaimState.RELEASED:
+            del self.claims[record.digest]
             return
-        self.holdings[record.digest] = replace(held, mark=record.mark)
+        self.claims[record.digest] = replace(claim, state=record.state)
 
-    def fold_segment(self, segment):
+    def apply_segment(self, segment):
         """Apply what is new in *segment*.
 
         Segments only grow, so the records folded before are a prefix.
@@ -143,7 +143,7 @@
             len(segment.records) >= self.count, "a claim log segment shrank"
         )
         for record in segment.records[self.count :]:
-            self.fold(record)
+            self.apply(record)
         self.count = len(segment.records)
         if segment.sealed_at:
             self.sealed[segment.number] = segment.sealed_at
@@ -156,39 +156,39 @@
             nonce: The claimant.
             wall: Wall clock in seconds; only the wording depends on it.
         """
-        held = self.holdings.get(digest)
-        if held is None:
+        claim = self.claims.get(digest)
+        if claim is None:
             return NOTHING
-        if held.nonce == nonce and held.mark is Mark.CLAIMED:
+        if claim.nonce == nonce and claim.state is ClaimState.CLAIMED:
             return Verdict.GRANTED
-        if held.mark is Mark.DONE:
+        if claim.state is ClaimState.DONE:
             return Verdict.DONE
-        if held.mark is Mark.UNKNOWN or wall > held.until:
+        if claim.state is ClaimState.UNKNOWN or wall > claim.expires_at:
             return Verdict.UNKNOWN
         return Verdict.IN_PROGRESS
 
-    def is_noted(self, record):
+    def is_redundant(self, record):
         """Whether *record* need not be written.
 
         A release is written even if the key is free: its claim may still
         be under way in a write whose answer was lost. Once the release
         stands in the log, that write fails by its revision.
         """
-        held = self.holdings.get(record.digest)
-        if record.mark is Mark.CLAIMED:
-            return held is not None
-        if record.mark is Mark.RELEASED and held is None:
+        claim = self.claims.get(record.digest)
+        if record.state is ClaimState.CLAIMED:
+            return claim is not None
+        if record.state is ClaimState.RELEASED and claim is None:
             return False
-        if held is None or held.nonce != record.nonce:
+        if claim is None or claim.nonce != record.nonce:
             return True
-        return held.mark is not Mark.CLAIMED
+        return claim.state is not ClaimState.CLAIMED
 
-    def forget(self, before):
+    def drop_expired(self, before):
         """Drop keys whose claim ended before a wall-clock second."""
-        self.holdings = {
-            digest: held
-            for digest, held in self.holdings.items()
-            if held.until >= before
+        self.claims = {
+            digest: claim
+            for digest, claim in self.claims.items()
+            if claim.expires_at >= before
         }
 
 
@@ -206,20 +206,20 @@
     change of it would lead a repeated key to another log, in which the
     first run does not stand.
     """
-    return int.from_bytes(digest[:4], "big") % SHARDS
+    return int.from_bytes(digest[:4], "big") % SHARD_COUNT
 
 
 def is_full(segment):
     """Whether a segment takes no more records."""
-    return len(segment.records) >= SEGMENT_RECORDS
+    return len(segment.records) >= MAX_SEGMENT_RECORDS
 
 
-def seal(segment, wall):
+def seal_segment(segment, wall):
     """Return *segment* as it is kept once it is full."""
     return msgspec.structs.replace(segment, sealed_at=int(wall))
 
 
-def follow(segment, sealed, wall, retention=RETENTION):
+def next_segment(segment, sealed, wall, retention=RETENTION_SECONDS):
     """Return the empty segment after *segment*.
 
     Args:
@@ -236,7 +236,7 @@
     return Segment(number=segment.number + 1, first=first)
 
 
-def append(segment, records):
+def append_records(segment, records):
     """Return *segment* with *records* after those it has."""
     return msgspec.structs.replace(
         segment, records=[*segment.records, *records]
--- a/src/hyssopspring/core/configuration.py
+++ b/src/hyssopspring/core/configuration.py
@@ -5,7 +5,7 @@
 from .requests import Target, TargetKind
 from .sentinels import NOTHING
 
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 DEFAULT_DEADLINE_MS = 60_000
 
 
@@ -48,7 +48,7 @@
     weights: Weights = Weights()
     repeatable: bool = True
     deadline_ms: int = DEFAULT_DEADLINE_MS
-    attempts: int = MOST_ATTEMPTS
+    attempts: int = MAX_ATTEMPTS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -66,7 +66,7 @@
     regions: frozenset[str] | None = None
     repeatable: bool = True
     deadline_ms: int = DEFAULT_DEADLINE_MS
-    attempts: int = MOST_ATTEMPTS
+    attempts: int = MAX_ATTEMPTS
     fallback: tuple[str, ...] = ()
 
 
--- a/src/hyssopspring/core/events.py
+++ b/src/hyssopspring/core/events.py
@@ -4,7 +4,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-RING_SIZE = 2_000
+MAX_EVENTS = 2_000
 
 
 class EventKind(enum.Enum):
@@ -126,7 +126,7 @@
             self.counter += 1
         return self.millis, self.counter
 
-    def witness(self, millis, counter):
+    def advance_past(self, millis, counter):
         """Move past the time that a message carried."""
         if (millis, counter) > (self.millis, self.counter):
             self.millis, self.counter = millis, counter
@@ -145,7 +145,7 @@
         self.host = host
         self.clock = clock
         self.listeners = list(listeners)
-        self.ring = deque(maxlen=RING_SIZE)
+        self.recent_events = deque(maxlen=MAX_EVENTS)
 
     def note(self, kind, *, request="", **details):
         """Record an event of *kind* now."""
@@ -159,7 +159,7 @@
             request=request,
             details={key: str(value) for key, value in details.items()},
         )
-        self.ring.append(event)
+        self.recent_events.append(event)
         for listener in self.listeners:
             listener(event)
         return event
@@ -168,7 +168,7 @@
         """Return the kept events, of one request if it is named."""
         return [
             event
-            for event in self.ring
+            for event in self.recent_events
             if (event.millis, event.counter) > after
             and (not request or event.request == request)
         ]
--- a/src/hyssopspring/core/forwarding.py
+++ b/src/hyssopspring/core/forwarding.py
@@ -3,7 +3,7 @@
 from .outcomes import NotRun, Reason
 from .sentinels import NOTHING
 
-MOST_HOPS = 1
+MAX_HOPS = 1
 
 
 def refuse_forwarded(request, host, region, permitted):
@@ -19,7 +19,7 @@
         region: Region of this host.
         permitted: Regions that this host's own configuration permits.
     """
-    if host in request.path or len(request.path) > MOST_HOPS:
+    if host in request.path or len(request.path) > MAX_HOPS:
         return NotRun(Reason.FORWARD_LOOP)
     if region not in request.residency or region not in permitted:
         return NotRun(Reason.NOT_RESIDENT_HERE)
--- a/src/hyssopspring/core/hashing.py
+++ b/src/hyssopspring/core/hashing.py
@@ -4,12 +4,12 @@
 
 import xxhash
 
-SEED_BITS = 0xFFFFFFFFFFFFFFFF
+SEED_MASK = 0xFFFFFFFFFFFFFFFF
 
 
 def hash_text(text, seed=0):
     """Return a 64-bit hash of *text*."""
-    return xxhash.xxh3_64_intdigest(text.encode(), seed=seed & SEED_BITS)
+    return xxhash.xxh3_64_intdigest(text.encode(), seed=seed & SEED_MASK)
 
 
 def short_id(text):
--- a/src/hyssopspring/core/health.py
+++ b/src/hyssopspring/core/health.py
@@ -12,14 +12,14 @@
     def __init__(self):
         self.down = False
 
-    def fail(self):
+    def record_failure(self):
         """Note a call without an answer; return whether that is news."""
-        news = not self.down
+        changed = not self.down
         self.down = True
-        return news
+        return changed
 
-    def succeed(self):
+    def record_success(self):
         """Note an answer; return whether that is news."""
-        news = self.down
+        changed = self.down
         self.down = False
-        return news
+        return changed
--- a/src/hyssopspring/core/membership.py
+++ b/src/hyssopspring/core/membership.py
@@ -4,11 +4,11 @@
 
 from .hashing import hash_text
 
-HEARTBEAT_EVERY = 1.0
-SUSPECT_AFTER = 3.0
-NEIGHBOUR_SILENCE = 1.5
-WATCHERS = 2
-FAR_SOURCES = 8
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+HEARTBEAT_TIMEOUT_SECONDS = 3.0
+NEIGHBOUR_TIMEOUT_SECONDS = 1.5
+WATCHER_COUNT = 2
+MAX_REMOTE_SOURCES = 8
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -48,7 +48,7 @@
 
     incarnation: str = ""
     sequence: int = -1
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     generation: int = 0
     leaving: bool = False
 
@@ -77,7 +77,7 @@
         for host in set(self.states) - set(self.entries):
             del self.states[host]
 
-    def hear(self, message, now):
+    def apply_message(self, message, now):
         """Note a message; return whether it is news.
 
         Messages come late and twice. An older one of the same
@@ -87,17 +87,17 @@
         if message.host == self.host:
             return False
         state = self.states.setdefault(message.host, PeerState())
-        same = state.incarnation == message.incarnation
-        if same and message.sequence <= state.sequence:
+        same_incarnation = state.incarnation == message.incarnation
+        if same_incarnation and message.sequence <= state.sequence:
             return False
         state.incarnation = message.incarnation
         state.sequence = message.sequence
-        state.heard_at = now
+        state.last_message_at = now
         state.generation = message.generation
         state.leaving = getattr(message, "leaving", False)
         return True
 
-    def live(self, now):
+    def live_hosts(self, now):
         """Return the names of the live hosts of the own data centre.
 
         A host is live as long as its heartbeats come. One that was only
@@ -107,7 +107,8 @@
         names = [
             host
             for host, state in self.states.items()
-            if now - state.heard_at <= SUSPECT_AFTER and self.is_local(host)
+            if now - state.last_message_at <= HEARTBEAT_TIMEOUT_SECONDS
+            and self.is_local(host)
         ]
         return [*names, self.host]
 
@@ -118,22 +119,22 @@
 
     def rank(self, now):
         """Return this host's place among the live hosts, from 0."""
-        ordered = order(self.data_centre, self.live(now))
+        ordered = rank_hosts(self.data_centre, self.live_hosts(now))
         return ordered.index(self.host)
 
-    def watches(self, now):
+    def is_watcher(self, now):
         """Whether this host watches the platform for its data centre."""
-        return self.rank(now) < WATCHERS
+        return self.rank(now) < WATCHER_COUNT
 
-    def reports(self, now):
+    def is_reporter(self, now):
         """Whether this host speaks for its data centre."""
         return self.rank(now) == 0
 
     def owns(self, name, now):
         """Whether this host does the shared work called *name*."""
-        return order(name, self.live(now))[0] == self.host
+        return rank_hosts(name, self.live_hosts(now))[0] == self.host
 
-    def usable(self, host, now):
+    def is_usable(self, host, now):
         """Whether callers should be sent to *host*."""
         entry = self.entries[host]
         state = self.states.get(host)
@@ -141,11 +142,14 @@
             return False
         if state is None:
             return True
-        if self.is_local(host) and now - state.heard_at > SUSPECT_AFTER:
+        if (
+            self.is_local(host)
+            and now - state.last_message_at > HEARTBEAT_TIMEOUT_SECONDS
+        ):
             return False
         return not state.leaving
 
-    def sources(self):
+    def verification_sources(self):
         """Return the hosts to ask when the own configuration is in doubt.
 
         All neighbours, and a few hosts elsewhere, the same ones each
@@ -153,9 +157,9 @@
         """
         local = [host for host in self.entries if self.is_local(host)]
         others = [host for host in self.entries if not self.is_local(host)]
-        return local + order(self.host, others)[:FAR_SOURCES]
+        return local + rank_hosts(self.host, others)[:MAX_REMOTE_SOURCES]
 
-    def neighbours_agree(self, now, generation):
+    def neighbours_up_to_date(self, now, generation):
         """Whether each neighbour was just heard, and none is ahead.
 
         Args:
@@ -166,7 +170,10 @@
             if not self.is_local(host):
                 continue
             state = self.states.get(host)
-            if state is None or now - state.heard_at > NEIGHBOUR_SILENCE:
+            if (
+                state is None
+                or now - state.last_message_at > NEIGHBOUR_TIMEOUT_SECONDS
+            ):
                 return False
             if state.generation > generation:
                 return False
@@ -185,13 +192,13 @@
         for data_centre, hosts in by_centre.items():
             chosen = hosts
             if data_centre != self.data_centre:
-                chosen = order(data_centre, hosts)[:WATCHERS]
+                chosen = rank_hosts(data_centre, hosts)[:WATCHER_COUNT]
             for host in chosen:
                 addresses.add(self.entries[host].control)
         return addresses - {""}
 
 
-def order(name, hosts):
+def rank_hosts(name, hosts):
     """Order *hosts* by rendezvous hashing for the work *name*.
 
     All hosts come to the same order without a message, and a host that
--- a/src/hyssopspring/core/placement.py
+++ b/src/hyssopspring/core/placement.py
@@ -6,22 +6,22 @@
 from .requests import Priority
 from .sentinels import NOTHING
 
-MISSED_SUMMARIES = 4
+MAX_MISSED_SUMMARIES = 4
 """Summaries that may be missing before the last one counts as old."""
 
-AWAY_PENALTY = 0.5
+AWAY_PENALTY_SECONDS = 0.5
 """Seconds that a workspace with full weight gives to stay at home."""
 
-COLD_PREFILL = 0.3
+COLD_PREFILL_SECONDS = 0.3
 """Seconds to read a prompt that is not in the cache, about."""
 
-HYSTERESIS = 0.1
+HYSTERESIS_SECONDS = 0.1
 """Seconds by which another region must be better."""
 
-FULL_PENALTY = 5.0
+FULL_PENALTY_SECONDS = 5.0
 """Seconds that count for a centre without a free slot."""
 
-STALE_PENALTY = 30.0
+STALE_PENALTY_SECONDS = 30.0
 """Seconds that count for a centre that has fallen silent."""
 
 
@@ -62,16 +62,16 @@
 
     region: str
     summaries: dict[str, CentreSummary] = field(default_factory=dict)
-    sent: dict[str, int] = field(default_factory=dict)
+    sent_since_summary: dict[str, int] = field(default_factory=dict)
 
-    def take(self, summary):
+    def apply_summary(self, summary):
         """Note a summary, unless a newer one is known."""
         known = self.summaries.get(summary.data_centre)
         if known is None or known.at <= summary.at:
             self.summaries[summary.data_centre] = summary
-            self.sent[summary.data_centre] = 0
+            self.sent_since_summary[summary.data_centre] = 0
 
-    def refresh(self, data_centre, target, load, now):
+    def apply_load(self, data_centre, target, load, now):
         """Take over the load that rode on an answer from there.
 
         Summaries grow rarer as the fleet grows. Answers bring fresh news
@@ -80,13 +80,15 @@
         known = self.summaries.get(data_centre)
         if known is not None:
             targets = {**known.targets, target: load}
-            self.take(replace(known, targets=targets, at=now))
+            self.apply_summary(replace(known, targets=targets, at=now))
 
-    def begin(self, data_centre):
+    def record_forward(self, data_centre):
         """Count a request that is forwarded to *data_centre*."""
-        self.sent[data_centre] = self.sent.get(data_centre, 0) + 1
+        self.sent_since_summary[data_centre] = (
+            self.sent_since_summary.get(data_centre, 0) + 1
+        )
 
-    def spare(self, summary, target):
+    def spare_slots(self, summary, target):
         """Return the free slots there that this host may still use.
 
         All hosts that hear a summary see the same free slots. If each
@@ -97,12 +99,12 @@
         free = slots - load
         if free <= 0:
             return 0.0
-        used = self.sent.get(summary.data_centre, 0)
+        used = self.sent_since_summary.get(summary.data_centre, 0)
         return max(1.0, free / summary.listeners) - used
 
 
 @dataclass(frozen=True, slots=True)
-class Option:
+class PlacementOption:
     """A data centre that could serve, with its score in seconds.
 
     Attributes:
@@ -114,7 +116,7 @@
     summary: CentreSummary = NOTHING
 
 
-def rank_centres(request, target, table, centres, configuration, now):
+def rank_data_centres(request, target, table, centres, configuration, now):
     """Order the data centres that may serve *target*, best first.
 
     Args:
@@ -126,19 +128,19 @@
         now: Time on the host's clock, in seconds.
 
     Returns:
-        List of `Option`. Centres outside the request's residency are
+        List of `PlacementOption`. Centres outside the request's residency are
         never in it.
     """
     options = []
     weights = workspace_weights(request, configuration)
-    servers = table.serving(target, now)
+    servers = table.available_servers(target, now)
     allowed = permitted_regions(request, target, configuration)
     if centres.region in allowed and servers:
         wait = min(server.wait(now) for server in servers)
-        score = weigh(request, weights, centres.region, wait, 0.0)
-        if is_full(servers, now):
-            score += FULL_PENALTY
-        options.append(Option(score))
+        score = score_data_centre(request, weights, centres.region, wait, 0.0)
+        if all_full(servers, now):
+            score += FULL_PENALTY_SECONDS
+        options.append(PlacementOption(score))
     for summary in centres.summaries.values():
         if summary.region not in allowed:
             continue
@@ -166,18 +168,20 @@
 def score_remote(
     request, weights, target, summary, centres, configuration, now
 ):
-    """Return the `Option` of serving in another data centre."""
-    distance = round_trip(configuration, centres.region, summary.region)
+    """Return the `PlacementOption` of serving in another data centre."""
+    distance = round_trip_seconds(
+        configuration, centres.region, summary.region
+    )
     wait = summary.targets[target][2]
-    score = weigh(request, weights, summary.region, wait, distance)
-    if now - summary.at > MISSED_SUMMARIES * summary.every:
-        score += STALE_PENALTY
-    if centres.spare(summary, target) <= 0:
-        score += FULL_PENALTY
-    return Option(score, summary)
+    score = score_data_centre(request, weights, summary.region, wait, distance)
+    if now - summary.at > MAX_MISSED_SUMMARIES * summary.every:
+        score += STALE_PENALTY_SECONDS
+    if centres.spare_slots(summary, target) <= 0:
+        score += FULL_PENALTY_SECONDS
+    return PlacementOption(score, summary)
 
 
-def weigh(request, weights, region, wait, distance):
+def score_data_centre(request, weights, region, wait, distance):
     """Weigh wait and distance, in seconds, against leaving home.
 
     Work at another region than home finds cold caches there and counts
@@ -187,10 +191,10 @@
     score = wait + distance
     if region == request.home:
         return score
-    score += HYSTERESIS + weights.away * AWAY_PENALTY
-    score += (weights.cost + weights.tail) * COLD_PREFILL
+    score += HYSTERESIS_SECONDS + weights.away * AWAY_PENALTY_SECONDS
+    score += (weights.cost + weights.tail) * COLD_PREFILL_SECONDS
     if request.priority is Priority.BATCH:
-        score += FULL_PENALTY * 4
+        score += FULL_PENALTY_SECONDS * 4
     return score
 
 
@@ -200,7 +204,7 @@
     return workspace.weights if workspace else Weights()
 
 
-def round_trip(configuration, here, there):
+def round_trip_seconds(configuration, here, there):
     """Return the round trip between two regions in seconds."""
     if here == there:
         return 0.001
@@ -209,6 +213,6 @@
     return known.get(there, 100.0) / 1000
 
 
-def is_full(servers, now):
+def all_full(servers, now):
     """Whether none of *servers* has a free slot."""
     return all(server.load(now) >= server.slots for server in servers)
--- a/src/hyssopspring/core/plans.py
+++ b/src/hyssopspring/core/plans.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-from .choice import DEFAULT_CHOICE, find_choice
+from .choice import DEFAULT_POLICY, find_policy
 from .exceptions import ensure
 from .outcomes import Answered, NotRun, Reason, Unknown, combine
-from .placement import CentreSummary, permitted_regions, rank_centres
+from .placement import CentreSummary, permitted_regions, rank_data_centres
 from .requests import Request, Target
 from .sentinels import NOTHING
 from .servers import Server
 
-LEAST_TIME = 0.005
-LONGEST_RETRY_AFTER = 30.0
+MIN_ATTEMPT_SECONDS = 0.005
+MAX_RETRY_AFTER_SECONDS = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +65,7 @@
         centres,
         budget,
         rng,
-        policy=DEFAULT_CHOICE,
+        policy=DEFAULT_POLICY,
     ):
         self.request: Request = request
         self.configuration = configuration
@@ -73,7 +73,7 @@
         self.centres = centres
         self.budget = budget
         self.rng = rng
-        self.choose = find_choice(policy)
+        self.choose = find_policy(policy)
         self.outcomes = []
         self.tried_servers = set()
         self.tried_centres = set()
@@ -81,21 +81,21 @@
     def next(self, now):
         """Return the next step: `Serve`, `Forward` or `Finish`."""
         if self.outcomes:
-            final = self.settled(now)
+            final = self.final_outcome(now)
             if final is not NOTHING:
                 return Finish(final)
         else:
-            self.budget.earn()
-        if self.request.deadline - now < LEAST_TIME:
+            self.budget.deposit()
+        if self.request.deadline - now < MIN_ATTEMPT_SECONDS:
             return Finish(self.conclude(Reason.DEADLINE))
-        step = self.find_step(now)
+        step = self.find_next_step(now)
         if step is NOTHING:
             return Finish(self.conclude(Reason.NO_SERVER))
         if isinstance(step, Serve) and not self.outcomes:
-            return self.admit(step, now)
+            return self.check_queue(step, now)
         return step
 
-    def admit(self, step, now):
+    def check_queue(self, step, now):
         """Return *step*, or the refusal of what would come too late.
 
         A request that is queued beyond its deadline takes a place from
@@ -106,14 +106,14 @@
         late = step.server.queue_wait(now) - (self.request.deadline - now)
         if late <= 0:
             return step
-        wait = min(max(1.0, late), LONGEST_RETRY_AFTER)
+        wait = min(max(1.0, late), MAX_RETRY_AFTER_SECONDS)
         return Finish(NotRun(Reason.OVERLOADED, wait))
 
     def record(self, outcome):
         """Note the outcome of the step that `next` gave last."""
         self.outcomes.append(outcome)
 
-    def settled(self, now):
+    def final_outcome(self, now):
         """Return the final outcome if no further attempt is allowed."""
         last = self.outcomes[-1]
         if isinstance(last, Answered):
@@ -124,7 +124,7 @@
             return combine(self.outcomes)
         if last == Unknown(Reason.CALLER_GONE):
             return last
-        if not self.budget.spend():
+        if not self.budget.try_withdraw():
             return combine(self.outcomes)
         return NOTHING
 
@@ -147,7 +147,7 @@
             return combine(self.outcomes)
         return NotRun(reason)
 
-    def find_step(self, now):
+    def find_next_step(self, now):
         """Return the best untried step over target and fallbacks."""
         for target in (self.request.target, *self.request.fallbacks):
             step = self.find_step_for(target, now)
@@ -157,7 +157,7 @@
 
     def find_step_for(self, target, now):
         """Return the best untried step for one target, or `NOTHING`."""
-        for option in rank_centres(
+        for option in rank_data_centres(
             self.request,
             target,
             self.table,
@@ -181,7 +181,7 @@
         )
         untried = [
             server
-            for server in self.table.serving(target, now)
+            for server in self.table.available_servers(target, now)
             if server.entry.name not in self.tried_servers
         ]
         if not untried:
--- a/src/hyssopspring/core/servers.py
+++ b/src/hyssopspring/core/servers.py
@@ -5,13 +5,13 @@
 from .hashing import short_id
 from .sentinels import NOTHING
 
-REPORT_HALF_LIFE = 2.0
-FAILURE_PAUSE = 1.0
-LONGEST_FAILURE_PAUSE = 30.0
+REPORT_HALF_LIFE_SECONDS = 2.0
+FAILURE_PAUSE_SECONDS = 1.0
+MAX_FAILURE_PAUSE_SECONDS = 30.0
 DEFAULT_SLOTS = 8
-FALLING = 0.3
-RISING = 0.03
-MAKING = 0.1
+FALLING_WEIGHT = 0.3
+RISING_WEIGHT = 0.03
+TRANSFER_WEIGHT = 0.1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -81,11 +81,11 @@
     report: LoadReport = NOTHING
     in_flight: int = 0
     sent_since_report: int = 0
-    left_incarnation: int = NOTHING
+    leaving_incarnation: int = NOTHING
     failures: int = 0
     paused_until: float = 0.0
     first_token: float = 0.0
-    making: float = 0.0
+    transfer_seconds: float = 0.0
 
     @property
     def leaving(self):
@@ -98,7 +98,7 @@
         """
         if self.entry.leaving:
             return True
-        return self.left_incarnation is not NOTHING
+        return self.leaving_incarnation is not NOTHING
 
     @property
     def slots(self):
@@ -107,15 +107,19 @@
             return DEFAULT_SLOTS
         return max(1, self.report.slots)
 
-    def note_times(self, first_token, making):
+    def record_times(self, first_token, transfer_seconds):
         """Take over the times of one answer."""
         gap = first_token - self.first_token
         if self.first_token:
-            self.first_token += gap * (FALLING if gap < 0 else RISING)
+            self.first_token += gap * (
+                FALLING_WEIGHT if gap < 0 else RISING_WEIGHT
+            )
         else:
             self.first_token = first_token
-        if making is not NOTHING:
-            self.making += MAKING * (making - self.making)
+        if transfer_seconds is not NOTHING:
+            self.transfer_seconds += TRANSFER_WEIGHT * (
+                transfer_seconds - self.transfer_seconds
+            )
 
     def load(self, now):
         """Estimate the requests that the server has at *now*.
@@ -126,10 +130,11 @@
         if self.report is NOTHING:
             return float(self.in_flight)
         age = max(0.0, now - self.report.at)
-        trust = 0.5 ** (age / REPORT_HALF_LIFE)
+        report_weight = 0.5 ** (age / REPORT_HALF_LIFE_SECONDS)
         reported = self.report.running + self.report.waiting
         return max(
-            float(self.in_flight), reported * trust + self.sent_since_report
+            float(self.in_flight),
+            reported * report_weight + self.sent_since_report,
         )
 
     def wait(self, now):
@@ -139,8 +144,8 @@
     def queue_wait(self, now):
         """Estimate the seconds that one more request would be queued."""
         ahead = self.load(now) - self.slots + 1
-        held = self.first_token + self.making
-        return held * max(0.0, ahead) / self.slots
+        service_seconds = self.first_token + self.transfer_seconds
+        return service_seconds * max(0.0, ahead) / self.slots
 
 
 @dataclass(slots=True)
@@ -166,24 +171,24 @@
         Returns:
             Names that are new and names that are gone, as two sets.
         """
-        mine = {
+        local_entries = {
             entry.name: entry
             for entry in entries
             if entry.data_centre == self.data_centre
         }
         before = set(self.servers)
-        for name, entry in mine.items():
+        for name, entry in local_entries.items():
             known = self.servers.get(name)
             if known is None or known.entry.address != entry.address:
                 self.servers[name] = Server(entry)
             else:
                 known.entry = entry
-        for name in before - set(mine):
+        for name in before - set(local_entries):
             del self.servers[name]
         self.names = {short_id(name): name for name in self.servers}
-        return set(mine) - before, before - set(mine)
+        return set(local_entries) - before, before - set(local_entries)
 
-    def take_report(self, name, report):
+    def apply_report(self, name, report):
         """Note a load report unless a newer one is known.
 
         Reports cross the network by several ways and arrive late or
@@ -199,15 +204,15 @@
             return False
         known = server.report
         if known is not NOTHING:
-            same = known.incarnation == report.incarnation
-            if same and report.sequence <= known.sequence:
+            same_incarnation = known.incarnation == report.incarnation
+            if same_incarnation and report.sequence <= known.sequence:
                 return False
         server.report = report
         server.sent_since_report = 0
         if report.leaving:
-            server.left_incarnation = report.incarnation
-        elif server.left_incarnation != report.incarnation:
-            server.left_incarnation = NOTHING
+            server.leaving_incarnation = report.incarnation
+        elif server.leaving_incarnation != report.incarnation:
+            server.leaving_incarnation = NOTHING
         return True
 
     def mark_leaving(self, name):
@@ -218,16 +223,22 @@
         incarnation = 0
         if server.report is not NOTHING:
             incarnation = server.report.incarnation
-        server.left_incarnation = incarnation
+        server.leaving_incarnation = incarnation
 
-    def begin(self, name):
+    def record_attempt(self, name):
         """Count an attempt that is about to be sent."""
         server = self.servers[name]
         server.in_flight += 1
         server.sent_since_report += 1
 
-    def finish(
-        self, name, now, *, failed, first_token=NOTHING, making=NOTHING
+    def record_attempt_end(
+        self,
+        name,
+        now,
+        *,
+        failed,
+        first_token=NOTHING,
+        transfer_seconds=NOTHING,
     ):
         """Count an attempt that has ended.
 
@@ -236,7 +247,7 @@
             now: Time on the host's clock, in seconds.
             failed: Whether the server is to blame for a failure.
             first_token: Seconds to the first byte, if it came.
-            making: Seconds from first to last byte, if it came.
+            transfer_seconds: Seconds from first to last byte, if it came.
 
         Returns:
             Whether the server is now tried last, and was not before.
@@ -246,30 +257,32 @@
             return False
         server.in_flight = max(0, server.in_flight - 1)
         if first_token is not NOTHING:
-            server.note_times(first_token, making)
+            server.record_times(first_token, transfer_seconds)
         if not failed:
             server.failures = 0
             return False
-        news = server.paused_until <= now
+        changed = server.paused_until <= now
         server.failures += 1
-        pause = FAILURE_PAUSE * 2 ** (server.failures - 1)
-        server.paused_until = now + min(pause, LONGEST_FAILURE_PAUSE)
-        return news
+        pause = FAILURE_PAUSE_SECONDS * 2 ** (server.failures - 1)
+        server.paused_until = now + min(pause, MAX_FAILURE_PAUSE_SECONDS)
+        return changed
 
-    def serving(self, target, now):
+    def available_servers(self, target, now):
         """Return the servers that may get new work for *target*.
 
         Servers that failed lately are left out while others remain.
         """
-        able = [
+        eligible = [
             server
             for server in self.servers.values()
             if target in server.entry.targets and not server.leaving
         ]
-        sound = [server for server in able if server.paused_until <= now]
-        return sound or able
+        unpaused = [
+            server for server in eligible if server.paused_until <= now
+        ]
+        return unpaused or eligible
 
-    def summary(self, now):
+    def summarize(self, now):
         """Return slots, load and wait of each target in the centre.
 
         Returns:
--- a/src/hyssopspring/core/shares.py
+++ b/src/hyssopspring/core/shares.py
@@ -14,26 +14,26 @@
 from .hashing import hash_text
 from .sentinels import NOTHING
 
-WHOLE = 10_000
-LEDGERS = 8
-LIFE = 7200.0
-SKEW = 60.0
-HEADROOM = 1.3
-HOME_FLOOR = 0.3
+TOTAL_UNITS = 10_000
+LEDGER_COUNT = 8
+HOLDING_LIFETIME_SECONDS = 7200.0
+MAX_CLOCK_SKEW_SECONDS = 60.0
+DEMAND_HEADROOM = 1.3
+HOME_MIN_SHARE = 0.3
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
     """What one host holds of one workspace's limits.
 
     Attributes:
-        units: Units of `WHOLE` that it holds.
+        units: Units of `TOTAL_UNITS` that it holds.
         wanted: Units that it could use.
         until: Wall-clock second until which it may use them.
     """
 
     units: int
     wanted: int
-    until: int
+    expires_at: int
 
 
 NO_HOLDING = Holding(0, 0, 0)
@@ -51,26 +51,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class ShareDemand:
     """What a host wants of one workspace's limits.
 
     Attributes:
         units: Units that it could use.
-        busy: Units that its requests in progress take up. They cannot be
+        busy_units: Units that its requests in progress take up. They cannot be
             given away before those end, else the next holder's requests
             would come on top of them.
     """
 
     units: int = 0
-    busy: int = 0
+    busy_units: int = 0
 
 
 def ledger_of(workspace):
     """Return the number of the ledger that a workspace stands in."""
-    return hash_text(workspace) % LEDGERS
+    return hash_text(workspace) % LEDGER_COUNT
 
 
-def fair_units(wanted, host, whole=WHOLE):
+def fair_units(wanted, host, whole=TOTAL_UNITS):
     """Return the max-min fair units of *host* among what all want.
 
     Args:
@@ -82,26 +82,26 @@
     waiting = dict(wanted)
     while waiting:
         equal = left // len(waiting)
-        modest = {name: w for name, w in waiting.items() if w <= equal}
-        if not modest:
+        satisfied = {name: w for name, w in waiting.items() if w <= equal}
+        if not satisfied:
             return equal
-        if host in modest:
-            return modest[host]
-        for name, units in modest.items():
+        if host in satisfied:
+            return satisfied[host]
+        for name, units in satisfied.items():
             left -= units
             del waiting[name]
     return 0
 
 
-def settle(ledger, host, wants, wall, life=LIFE):
+def allocate(ledger, host, wants, wall, lifetime=HOLDING_LIFETIME_SECONDS):
     """Return the ledger with what *host* may hold now.
 
     Args:
         ledger: The `Ledger` as it stands.
         host: The host.
-        wants: `Want` by workspace.
+        wants: `ShareDemand` by workspace.
         wall: Wall clock in seconds.
-        life: Seconds for which a holding may be used unrenewed.
+        lifetime: Seconds for which a holding may be used unrenewed.
 
     Returns:
         The next `Ledger`. Holdings whose time is long over are taken
@@ -113,25 +113,25 @@
         before = {
             name: held
             for name, held in holdings.get(workspace, {}).items()
-            if held.until + SKEW > wall
+            if held.expires_at + MAX_CLOCK_SKEW_SECONDS > wall
         }
         held = before.pop(host, NO_HOLDING)
         wishes = {name: other.wanted for name, other in before.items()}
         fair = fair_units({**wishes, host: wanted}, host)
-        free = WHOLE - sum(other.units for other in before.values())
-        busy = min(held.units, want.busy)
+        free = TOTAL_UNITS - sum(other.units for other in before.values())
+        busy = min(held.units, want.busy_units)
         units = max(busy, min(fair, free))
         if units or wanted or held.units:
-            before[host] = Holding(units, wanted, int(wall + life))
-        check_sum(before)
+            before[host] = Holding(units, wanted, int(wall + lifetime))
+        check_total(before)
         holdings[workspace] = before
     return Ledger(holdings)
 
 
-def check_sum(holdings):
+def check_total(holdings):
     """Assert that holdings do not add up to more than the whole."""
     total = sum(held.units for held in holdings.values())
-    ensure(total <= WHOLE, f"shares add up to {total} of {WHOLE}")
+    ensure(total <= TOTAL_UNITS, f"shares add up to {total} of {TOTAL_UNITS}")
 
 
 def decode_ledger(data):
@@ -169,29 +169,31 @@
     """
 
     units: int = 0
-    until: float = 0.0
+    expires_at: float = 0.0
     tokens: float = 0.0
     at: float = 0.0
     active: int = 0
-    asked: int = 0
+    requested: int = 0
     demand: float = 0.0
     peak: int = 0
-    turned_away: int = 0
-    tried_at: float = field(default=float("-inf"))
+    rejected: int = 0
+    last_request_at: float = field(default=float("-inf"))
 
     def rate(self, limits, wall):
         """Return the requests a second that may start."""
-        return limits.requests_per_second * self.usable(wall) / WHOLE
+        return (
+            limits.requests_per_second * self.usable_units(wall) / TOTAL_UNITS
+        )
 
-    def room(self, limits, wall):
+    def concurrency(self, limits, wall):
         """Return the requests that may be in progress."""
-        return int(limits.concurrent * self.usable(wall) / WHOLE)
+        return int(limits.concurrent * self.usable_units(wall) / TOTAL_UNITS)
 
-    def usable(self, wall):
+    def usable_units(self, wall):
         """Return the units that may be used at *wall*."""
-        return self.units if wall < self.until else 0
+        return self.units if wall < self.expires_at else 0
 
-    def take(self, limits, now, wall):
+    def try_start(self, limits, now, wall):
         """Start a request if the share allows it.
 
         Returns:
@@ -199,9 +201,9 @@
         """
         if limits.concurrent is not None:
             self.peak = max(self.peak, self.active + 1)
-            if self.active >= self.room(limits, wall):
-                self.turned_away += 1
-                self.peak = max(self.peak, self.active + self.turned_away)
+            if self.active >= self.concurrency(limits, wall):
+                self.rejected += 1
+                self.peak = max(self.peak, self.active + self.rejected)
                 return "concurrent"
         if limits.requests_per_second is not None:
             rate = self.rate(limits, wall)
@@ -214,18 +216,18 @@
         self.active += 1
         return NOTHING
 
-    def measure(self, seconds):
+    def update_demand(self, seconds):
         """Fold what was asked for in the last *seconds* into demand."""
-        self.demand += 0.5 * (self.asked / seconds - self.demand)
-        self.asked = 0
+        self.demand += 0.5 * (self.requested / seconds - self.demand)
+        self.requested = 0
         self.peak = max(self.active, self.peak // 2)
-        self.turned_away = 0
+        self.rejected = 0
 
-    def busy(self, limits):
+    def busy_units(self, limits):
         """Return the units that the requests in progress take up."""
         if limits.concurrent is None:
             return 0
-        return -(-self.active * WHOLE // limits.concurrent)
+        return -(-self.active * TOTAL_UNITS // limits.concurrent)
 
     def wanted(self, limits, floor):
         """Return the units that this host could use.
@@ -236,10 +238,12 @@
         """
         shares = [0.0]
         if limits.requests_per_second is not None:
-            demand = max(self.demand, float(self.asked))
-            shares.append(demand * HEADROOM / limits.requests_per_second)
+            demand = max(self.demand, float(self.requested))
+            shares.append(
+                demand * DEMAND_HEADROOM / limits.requests_per_second
+            )
         if limits.concurrent is not None:
             shares.append((self.peak + 1) / limits.concurrent)
-            if not self.peak and not self.demand and not self.asked:
+            if not self.peak and not self.demand and not self.requested:
                 shares.pop()
-        return min(WHOLE, max(floor, int(max(shares) * WHOLE) + 1))
+        return min(TOTAL_UNITS, max(floor, int(max(shares) * TOTAL_UNITS) + 1))
--- a/src/hyssopspring/core/tokenlimits.py
+++ b/src/hyssopspring/core/tokenlimits.py
@@ -16,45 +16,45 @@
 from dataclasses import dataclass, field
 
 from .sentinels import NOTHING
-from .shares import WHOLE, fair_units
+from .shares import TOTAL_UNITS, fair_units
 
-__all__ = ["TRANSFER_LIFE", "Allowance", "Shortage", "TokenLimits"]
+__all__ = ["TRANSFER_LIFETIME_SECONDS", "Allowance", "Shortage", "TokenLimits"]
 
-TRANSFER_LIFE = 1.0
+TRANSFER_LIFETIME_SECONDS = 1.0
 """Seconds from the question in which tokens of another region may be used.
 Older ones could come on top of a whole window."""
 
-DEMAND_SECONDS = 1.0
+DEMAND_TIME_CONSTANT_SECONDS = 1.0
 """Time constant of the moving average of what a workspace asks for."""
 
-AHEAD = 0.8
+DEMAND_AHEAD_SECONDS = 0.8
 """Seconds of its demand that a region wants to hold: two rounds of questions
 and the way to another region and back."""
 
-LEAST_HELD = 0.5
+MIN_RESERVE_FRACTION = 0.5
 """Part of its bucket that a region wants to hold whatever its demand, and
 does not give away, for the first requests of a workspace."""
 
-SURPLUS_SECONDS = 1.0
+SURPLUS_TIME_CONSTANT_SECONDS = 1.0
 """Time constant in which tokens above the own bucket go. What is handed over
 is needed at once."""
 
-SLACK_USED = 0.4
+BURST_SLACK_FRACTION = 0.4
 """Part of the tolerated excess that counts as burst. The rest covers hosts
 that count beside each other until they have heard of it."""
 
-RATE_USED = 0.5
+RATE_OVERAGE_FRACTION = 0.5
 """Part of the tolerated excess of the rate that is used."""
 
-START_USED = 0.25
+START_OVERAGE_FRACTION = 0.25
 """Part of the tolerated excess of a whole window that a bucket holds when it
 is new: after an end of all hosts, all callers come back in one second."""
 
-LARGEST_PART = 0.9
+LARGE_REQUEST_FRACTION = 0.9
 """Part of its bucket that a request must find full to pass which is larger
 than the bucket; it leaves a debt. It could never pass else."""
 
-CHARGES_KEPT = 8192
+MAX_CHARGES = 8192
 """Charges that may be given back; a busy region makes 2,000 in the time in
 which a request shows that it has not run."""
 
@@ -75,20 +75,23 @@
 
     def rate(self, limit):
         """Return the tokens a second that are let through of a limit."""
-        return limit.rate * (1.0 + self.overage * RATE_USED)
+        return limit.rate * (1.0 + self.overage * RATE_OVERAGE_FRACTION)
 
     def extra(self):
         """Return the tokens that a bucket holds above the burst."""
-        return self.slack * SLACK_USED
+        return self.slack * BURST_SLACK_FRACTION
 
     def start(self, limit):
         """Return the tokens that a new bucket holds."""
         whole = limit.rate * self.window + limit.burst
-        return self.extra() + whole * self.overage * START_USED
+        return self.extra() + whole * self.overage * START_OVERAGE_FRACTION
 
     def burst(self, limit):
         """Return the most tokens that are let through at once."""
-        return limit.burst * (1.0 + self.overage * RATE_USED) + self.extra()
+        return (
+            limit.burst * (1.0 + self.overage * RATE_OVERAGE_FRACTION)
+            + self.extra()
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +100,7 @@
 
     Attributes:
         seconds: Time until there should be enough.
-        units: Units of `WHOLE` that this host counts.
+        units: Units of `TOTAL_UNITS` that this host counts.
         level: Tokens that are left.
         demand: Tokens a second that are asked for here.
     """
@@ -123,8 +126,8 @@
     level: float
     at: float
     demand: float = 0.0
-    wishes: dict = field(default_factory=dict)
-    taken: dict = field(default_factory=dict)
+    recent_requests: dict = field(default_factory=dict)
+    last_transfers: dict = field(default_factory=dict)
 
 
 class TokenLimits:
@@ -138,7 +141,7 @@
     """
 
     def __init__(self, regions, allowance, weight):
-        self.base = WHOLE // max(1, regions)
+        self.base = TOTAL_UNITS // max(1, regions)
         self.allowance = allowance
         self.weight = weight
         self.usages = {}
@@ -152,7 +155,7 @@
         """
         usage = self.usages.get(workspace)
         if usage is None:
-            level = self.allowance.start(limit) * self.units() / WHOLE
+            level = self.allowance.start(limit) * self.units() / TOTAL_UNITS
             usage = self.usages[workspace] = Usage(level, now)
         return usage
 
@@ -160,11 +163,11 @@
         """Return the units of the whole that this host counts now."""
         return int(self.base * self.weight())
 
-    def most(self, limit):
+    def bucket_size(self, limit):
         """Return the tokens to which this host's bucket fills by itself."""
-        return self.allowance.burst(limit) * self.units() / WHOLE
+        return self.allowance.burst(limit) * self.units() / TOTAL_UNITS
 
-    def settle(self, usage, limit, now):
+    def refill(self, usage, limit, now):
         """Add the tokens of the time that has passed.
 
         What other regions gave may lie above the own bucket, for a short
@@ -174,16 +177,18 @@
         new rate.
         """
         seconds = max(0.0, now - usage.at)
-        rate = self.allowance.rate(limit) * self.units() / WHOLE
-        room = self.most(limit) - usage.level
-        if room < 0.0:
-            usage.level += room * (1.0 - math.exp(-seconds / SURPLUS_SECONDS))
+        rate = self.allowance.rate(limit) * self.units() / TOTAL_UNITS
+        free_space = self.bucket_size(limit) - usage.level
+        if free_space < 0.0:
+            usage.level += free_space * (
+                1.0 - math.exp(-seconds / SURPLUS_TIME_CONSTANT_SECONDS)
+            )
         else:
-            usage.level += min(room, seconds * rate)
-        usage.demand *= math.exp(-seconds / DEMAND_SECONDS)
+            usage.level += min(free_space, seconds * rate)
+        usage.demand *= math.exp(-seconds / DEMAND_TIME_CONSTANT_SECONDS)
         usage.at = max(usage.at, now)
 
-    def settle_all(self, limit_of, now):
+    def refill_all(self, limit_of, now):
         """Settle all workspaces; forget those without a limit.
 
         Args:
@@ -196,9 +201,9 @@
             if limit is NOTHING:
                 del self.usages[name]
             else:
-                self.settle(usage, limit, now)
+                self.refill(usage, limit, now)
 
-    def take(self, workspace, limit, cost, now, key):
+    def try_take(self, workspace, limit, cost, now, key):
         """Let a request pass if there are tokens for it.
 
         Args:
@@ -206,95 +211,97 @@
             limit: Its `TokenLimit`.
             cost: Tokens of the request.
             now: The time.
-            key: What names the request in `give_back`.
+            key: What names the request in `refund`.
 
         Returns:
             `NOTHING`, or the `Shortage`.
         """
         usage = self.usage(workspace, limit, now)
-        self.settle(usage, limit, now)
-        usage.demand += cost / DEMAND_SECONDS
+        self.refill(usage, limit, now)
+        usage.demand += cost / DEMAND_TIME_CONSTANT_SECONDS
         units = self.units()
-        needed = min(cost, self.most(limit) * LARGEST_PART)
+        needed = min(cost, self.bucket_size(limit) * LARGE_REQUEST_FRACTION)
         if units and usage.level >= needed:
             usage.level -= cost
             self.charges[key] = (workspace, cost)
-            if len(self.charges) > CHARGES_KEPT:
+            if len(self.charges) > MAX_CHARGES:
                 self.charges.popitem(last=False)
             return NOTHING
-        rate = self.allowance.rate(limit) * max(units, 1) / WHOLE
-        missing = needed - usage.level + self.returning(usage, rate)
+        rate = self.allowance.rate(limit) * max(units, 1) / TOTAL_UNITS
+        missing = needed - usage.level + self.expected_retries(usage, rate)
         return Shortage(missing / rate, units, usage.level, usage.demand)
 
-    def returning(self, usage, rate):
+    def expected_retries(self, usage, rate):
         """Return the tokens that refused callers will ask for once more.
 
         Who comes back before them finds the bucket empty again; without
         them, the callers of a workspace far above its limit all came back
         within a tenth of a second.
         """
-        return max(0.0, usage.demand - rate) * DEMAND_SECONDS
+        return max(0.0, usage.demand - rate) * DEMAND_TIME_CONSTANT_SECONDS
 
-    def give_back(self, key):
+    def refund(self, key):
         """Return the tokens of a request that has not run."""
         workspace, cost = self.charges.pop(key, ("", 0))
         usage = self.usages.get(workspace)
         if usage is not None:
             usage.level += cost
 
-    def forget_charge(self, key):
+    def discard_charge(self, key):
         """Note that a request has run."""
         self.charges.pop(key, None)
 
-    def wanted(self, usage, limit):
+    def target_level(self, usage, limit):
         """Return the tokens that this host wants to hold."""
-        least = self.most(limit) * LEAST_HELD
-        return min(limit.burst, max(least, usage.demand * AHEAD))
+        least = self.bucket_size(limit) * MIN_RESERVE_FRACTION
+        return min(
+            limit.burst, max(least, usage.demand * DEMAND_AHEAD_SECONDS)
+        )
 
-    def wish(self, workspace, limit, now):
+    def tokens_to_request(self, workspace, limit, now):
         """Return the tokens to ask other regions for, or 0."""
         usage = self.usage(workspace, limit, now)
-        self.settle(usage, limit, now)
-        return max(0, int(self.wanted(usage, limit) - usage.level))
+        self.refill(usage, limit, now)
+        return max(0, int(self.target_level(usage, limit) - usage.level))
 
-    def transfer_out(self, workspace, limit, asker, wish, now):
+    def transfer_out(self, workspace, limit, requester, requested, now):
         """Give tokens that are not needed here; return their number.
 
         Args:
             workspace: Name of the workspace.
             limit: Its `TokenLimit`.
-            asker: Name of the host that asks.
-            wish: Tokens that it asks for.
+            requester: Name of the host that asks.
+            requested: Tokens that it asks for.
             now: The time.
         """
         usage = self.usage(workspace, limit, now)
-        self.settle(usage, limit, now)
-        usage.wishes[asker] = (wish, now)
-        lately = {
+        self.refill(usage, limit, now)
+        usage.recent_requests[requester] = (requested, now)
+        recent = {
             name: tokens
-            for name, (tokens, at) in usage.wishes.items()
-            if now - at < TRANSFER_LIFE
+            for name, (tokens, at) in usage.recent_requests.items()
+            if now - at < TRANSFER_LIFETIME_SECONDS
         }
-        spare = max(0, int(usage.level - self.wanted(usage, limit)))
-        tokens = min(wish, fair_units(lately, asker, spare))
+        spare = max(0, int(usage.level - self.target_level(usage, limit)))
+        tokens = min(requested, fair_units(recent, requester, spare))
         usage.level -= tokens
         return tokens
 
-    def transfer_in(self, workspace, limit, giver, tokens, stamp, now):
+    def transfer_in(self, workspace, limit, sender, tokens, stamp, now):
         """Use what another region gives, once and in time.
 
         Args:
             workspace: Name of the workspace.
             limit: Its `TokenLimit`.
-            giver: Name of the host that gives.
+            sender: Name of the host that gives.
             tokens: Their number.
             stamp: Time of the question, by this host's clock.
             now: The time.
         """
         usage = self.usage(workspace, limit, now)
-        self.settle(usage, limit, now)
-        doubled = usage.taken.get(giver, -math.inf) >= stamp
-        if doubled or now - stamp >= TRANSFER_LIFE:
+        self.refill(usage, limit, now)
+        duplicate = usage.last_transfers.get(sender, -math.inf) >= stamp
+        if duplicate or now - stamp >= TRANSFER_LIFETIME_SECONDS:
             return
-        usage.taken[giver] = stamp
+        usage.last_transfers[sender] = stamp
         usage.level += tokens
--- a/src/hyssopspring/core/trust.py
+++ b/src/hyssopspring/core/trust.py
@@ -4,13 +4,15 @@
 
 from .sentinels import NOTHING
 
-LONGEST_FREEZE = 1.5
-DIRECT_LIFE = 1.5
-LONGEST_SILENCE = 1.5
-RESTRICTION_HOLD = DIRECT_LIFE + LONGEST_SILENCE + 0.05
+MAX_FREEZE_SECONDS = 1.5
+MAX_REPLY_AGE_SECONDS = 1.5
+MAX_CONTACT_AGE_SECONDS = 1.5
+RESTRICTION_HOLD_SECONDS = (
+    MAX_REPLY_AGE_SECONDS + MAX_CONTACT_AGE_SECONDS + 0.05
+)
 
 
-class Level(enum.Enum):
+class TrustLevel(enum.Enum):
     """What a host may do by its configuration."""
 
     FULL = "full"
@@ -43,21 +45,21 @@
     """
 
     def __init__(self, now):
-        self.awake_at = now
-        self.heard_at = now
-        self.direct_at = now
-        self.thawed_at = now
-        self.neighbours = alone
+        self.last_wakeup_at = now
+        self.last_contact_at = now
+        self.last_reply_at = now
+        self.resumed_at = now
+        self.neighbours = no_neighbours
         self.frozen = False
 
-    def wake(self, now):
+    def record_wakeup(self, now):
         """Note that the event loop runs; called often."""
-        if now - self.awake_at > LONGEST_FREEZE:
+        if now - self.last_wakeup_at > MAX_FREEZE_SECONDS:
             self.frozen = True
-            self.thawed_at = now
-        self.awake_at = now
+            self.resumed_at = now
+        self.last_wakeup_at = now
 
-    def hear_direct(self, asked_at, now, *, verified=False):
+    def record_platform_reply(self, asked_at, now, *, verified=False):
         """Note word of the platform.
 
         Args:
@@ -67,43 +69,43 @@
                 newest. After a gap in the contact nothing less will do:
                 a restriction may have come into force in the meantime.
         """
-        if not verified and self.level(now) is not Level.FULL:
+        if not verified and self.level(now) is not TrustLevel.FULL:
             return
-        self.direct_at = max(self.direct_at, asked_at)
-        self.heard_at = max(self.heard_at, asked_at)
+        self.last_reply_at = max(self.last_reply_at, asked_at)
+        self.last_contact_at = max(self.last_contact_at, asked_at)
 
-    def hear_neighbour(self, now):
+    def record_neighbour_contact(self, now):
         """Note word of a neighbour that has just read the platform."""
-        self.heard_at = now
+        self.last_contact_at = now
 
-    def verify(self, asked_at):
+    def record_verification(self, asked_at):
         """Note a newest configuration that was asked for at *asked_at*.
 
         Messages that waited in a queue while the host was frozen say
         nothing of the present; an answer to a question that was asked
         afterwards does.
         """
-        if asked_at >= self.thawed_at:
+        if asked_at >= self.resumed_at:
             self.frozen = False
 
     def in_contact(self, now):
         """Whether this host itself has just read the platform."""
-        return now - self.direct_at <= DIRECT_LIFE
+        return now - self.last_reply_at <= MAX_REPLY_AGE_SECONDS
 
     def level(self, now):
-        """Return the `Level` at *now*.
+        """Return the `TrustLevel` at *now*.
 
         The first request after a freeze may come before the loop's own
         timers, so the time since the last wake counts here too.
         """
-        self.wake(now)
+        self.record_wakeup(now)
         if self.frozen:
-            return Level.HOME_ONLY
-        if now - self.heard_at <= LONGEST_SILENCE:
-            return Level.FULL
+            return TrustLevel.HOME_ONLY
+        if now - self.last_contact_at <= MAX_CONTACT_AGE_SECONDS:
+            return TrustLevel.FULL
         if self.neighbours(now):
-            return Level.FULL
-        return Level.HOME_ONLY
+            return TrustLevel.FULL
+        return TrustLevel.HOME_ONLY
 
     def permitted(self, residency, home, region, now):
         """Return what is left of a request's residency.
@@ -118,13 +120,13 @@
             Set of regions, or `NOTHING` if the host must not decide on
             the request at all.
         """
-        if self.level(now) is Level.FULL:
+        if self.level(now) is TrustLevel.FULL:
             return residency
         if home != region:
             return NOTHING
         return residency & {region}
 
 
-def alone(now):
+def no_neighbours(now):
     """Stand for the neighbours of a host that has none."""
     return True
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -174,14 +174,14 @@
         if limit is NOTHING:
             return decide()
         key = (ask.host, ask.number)
-        shortage = self.limits.take(
+        shortage = self.limits.try_take(
             ask.workspace, limit, ask.cost, self.clock(), key
         )
         if shortage is not NOTHING:
             return self.limited(shortage)
         decision = decide()
         if not isinstance(decision, Placed | Away):
-            self.limits.give_back(key)
+            self.limits.refund(key)
         return decision
 
     def limited(self, shortage):
@@ -199,22 +199,24 @@
     def note_end(self, host, number, finding):
         """Give tokens back if the request has not run."""
         if finding in NOT_RUN:
-            self.limits.give_back((host, number))
+            self.limits.refund((host, number))
         else:
-            self.limits.forget_charge((host, number))
+            self.limits.discard_charge((host, number))
 
     def tick(self):
         """Ask other regions for what is missing here, if this host places."""
         if not self.keeper.current or not self.keeper.current.workspaces:
             return
         now = self.clock()
-        self.limits.settle_all(self.limit_of, now)
+        self.limits.refill_all(self.limit_of, now)
         if not self.is_first():
             return
         rows = []
         for workspace in self.keeper.current.workspaces.values():
             if workspace.limit is not NOTHING:
-                wish = self.limits.wish(workspace.name, workspace.limit, now)
+                wish = self.limits.tokens_to_request(
+                    workspace.name, workspace.limit, now
+                )
                 if wish:
                     rows.append((short_id(workspace.name), wish))
         if not rows:
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -9,11 +9,11 @@
 from .core.budgets import RetryBudget
 from .core.events import EventKind
 from .core.exceptions import PlatformError
-from .core.membership import HEARTBEAT_EVERY, PeerEntry, PeerTable
+from .core.membership import HEARTBEAT_INTERVAL_SECONDS, PeerEntry, PeerTable
 from .core.placement import CentreTable
 from .core.sentinels import NOTHING
 from .core.servers import ServerTable
-from .core.trust import Level, Trust
+from .core.trust import Trust, TrustLevel
 from .logs import start_logging
 from .net.backends import BackendClient
 from .net.bus import Bus
@@ -72,7 +72,7 @@
         self.ports = []
         self.loops = []
         self.stall = 0.0
-        self.trust_level = Level.FULL
+        self.trust_level = TrustLevel.FULL
         self.publish_due = 0.0
         self.stall_expected = NOTHING
 
@@ -171,9 +171,9 @@
             forward_address=self.settings.forward,
             newer=self.config.newer,
         )
-        self.state.keeper.applied = lambda _: self.membership.announce()
-        self.state.trust.neighbours = lambda now: self.peers.neighbours_agree(
-            now, self.state.keeper.generation
+        self.state.keeper.on_applied = lambda _: self.membership.announce()
+        self.state.trust.neighbours = lambda now: (
+            self.peers.neighbours_up_to_date(now, self.state.keeper.generation)
         )
 
     def take_message(self, message):
@@ -196,7 +196,7 @@
         self.bus.start()
         self.bus.subscribe(CRASH_TOPIC)
         self.membership.start()
-        self.repeat(HEARTBEAT_EVERY, self.tick)
+        self.repeat(HEARTBEAT_INTERVAL_SECONDS, self.tick)
         self.repeat(STALL_EVERY, self.measure_stall)
         self.timeline.note(EventKind.STARTED, incarnation=self.incarnation)
 
@@ -251,7 +251,7 @@
             return
         self.trust_level = level
         kind = EventKind.CONFINED
-        if level is Level.FULL:
+        if level is TrustLevel.FULL:
             kind = EventKind.UNCONFINED
         self.timeline.note(kind)
 
@@ -277,7 +277,7 @@
     def measure_stall(self):
         """Measure how late the loop calls back."""
         now = self.reactor.seconds()
-        self.state.trust.wake(now)
+        self.state.trust.record_wakeup(now)
         if self.stall_expected is not NOTHING:
             late = now - self.stall_expected
             self.stall = max(late, self.stall * 0.999)
@@ -293,7 +293,7 @@
         rows = [
             self.host_row(entry)
             for host, entry in self.peers.entries.items()
-            if self.peers.usable(host, now)
+            if self.peers.is_usable(host, now)
         ]
         if not self.drain.leaving:
             rows.append(
@@ -333,7 +333,7 @@
             generation=self.state.keeper.generation,
             leaving=self.drain.leaving,
             active=self.drain.active,
-            live=sorted(self.peers.live(now)),
+            live=sorted(self.peers.live_hosts(now)),
             servers={
                 name: -1.0 if server.leaving else round(server.load(now), 2)
                 for name, server in self.state.table.servers.items()
--- a/src/hyssopspring/net/administration.py
+++ b/src/hyssopspring/net/administration.py
@@ -10,7 +10,7 @@
 from ..config.accepting import gather
 from ..config.merging import merge
 from ..config.schema import parse_file
-from ..core.accepted import FOLDER_PREFIX, Verdict
+from ..core.accepted import FILES_PREFIX, Verdict
 from ..core.exceptions import KeyValueError, PlatformError
 from ..core.sentinels import NOTHING
 from ..stores.keyvalues import Applied, WriteUnknown
@@ -142,7 +142,7 @@
     async def show_file(self, request):
         """Answer with one file and its state."""
         name = file_name(request)
-        entry = await self.store.get(FOLDER_PREFIX + name)
+        entry = await self.store.get(FILES_PREFIX + name)
         if entry is NOTHING:
             respond_error(request, 404, "not_found", f"no file {name!r}")
             return
@@ -200,7 +200,7 @@
         Raises:
             KeyValueError: The platform did not answer.
         """
-        key = FOLDER_PREFIX + name
+        key = FILES_PREFIX + name
         for _ in range(WRITE_TRIES):
             entry = await self.store.get(key)
             known = entry.revision if entry is not NOTHING else 0
@@ -273,9 +273,9 @@
         request.content.seek(0)
         text = request.content.read().decode("utf-8", "replace")
         held = await self.acceptor.read()
-        listing = await self.store.list(FOLDER_PREFIX)
+        listing = await self.store.list(FILES_PREFIX)
         folder = {
-            entry.key[len(FOLDER_PREFIX) :]: RawFile(
+            entry.key[len(FILES_PREFIX) :]: RawFile(
                 entry.value.decode("utf-8", "replace"), entry.revision
             )
             for entry in listing.entries
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -10,8 +10,8 @@
 from twisted.web.http_headers import Headers
 
 from ..core.claims import (
-    SHARDS,
-    Mark,
+    SHARD_COUNT,
+    ClaimState,
     Record,
     Verdict,
     key_digest,
@@ -19,7 +19,7 @@
 )
 from ..core.exceptions import KeyValueError, NoAnswerError, ProtocolError
 from ..core.health import Health
-from ..core.membership import order
+from ..core.membership import rank_hosts
 from ..core.outcomes import (
     Answered,
     NotRun,
@@ -27,7 +27,7 @@
     Repeated,
     Unknown,
 )
-from ..core.pacing import Pacer
+from ..core.pacing import TokenBucket
 from ..core.sentinels import NOTHING
 from ..stores.claimlogs import CLAIMS_PREFIX, MARK_LIFE, ClaimLog
 from .clients import fetch
@@ -104,7 +104,7 @@
         """Find out whether the service answers again."""
         with contextlib.suppress(KeyValueError):
             await self.store.get(CLAIMS_PREFIX)
-            self.health.succeed()
+            self.health.record_success()
 
     def add_routes(self, router):
         """Add the path for asks of other hosts."""
@@ -122,7 +122,7 @@
         if self.health.down:
             return REFUSALS[Verdict.UNAVAILABLE]
         nonce = secrets.token_bytes(NONCE_SIZE)
-        record = self.make_record(request, nonce, Mark.CLAIMED)
+        record = self.make_record(request, nonce, ClaimState.CLAIMED)
         verdict = await self.claim(record, request)
         if verdict is not Verdict.GRANTED:
             self.release_later(record, verdict)
@@ -160,9 +160,11 @@
         """Return the `PeerEntry` of a shard's owner; NOTHING for us."""
         now = self.state.clock.seconds()
         hosts = [
-            host for host in self.peers.entries if self.peers.usable(host, now)
+            host
+            for host in self.peers.entries
+            if self.peers.is_usable(host, now)
         ]
-        first = order(f"claims-{shard}", [*hosts, self.state.host])[0]
+        first = rank_hosts(f"claims-{shard}", [*hosts, self.state.host])[0]
         if first == self.state.host:
             return NOTHING
         return self.peers.entries[first]
@@ -180,7 +182,9 @@
                 shard,
                 self.state.clock,
                 wall=self.wall,
-                pacer=Pacer(FLEET_WRITES_PER_SECOND / SHARDS, WRITE_BURST),
+                pacer=TokenBucket(
+                    FLEET_WRITES_PER_SECOND / SHARD_COUNT, WRITE_BURST
+                ),
                 timeline=self.state.timeline,
                 health=self.health,
             )
@@ -237,16 +241,16 @@
 
     def note_outcome(self, record, outcome):
         """Write down how the request with the key ended."""
-        mark = Mark.UNKNOWN
+        mark = ClaimState.UNKNOWN
         if isinstance(outcome, Answered):
-            mark = Mark.DONE
+            mark = ClaimState.DONE
         elif isinstance(outcome, NotRun):
-            mark = Mark.RELEASED
+            mark = ClaimState.RELEASED
         defer.ensureDeferred(self.write_mark(record, mark))
 
     async def write_mark(self, record, mark):
         """Write a mark by the owner, or by this host if it is silent."""
-        marked = msgspec.structs.replace(record, mark=mark)
+        marked = msgspec.structs.replace(record, state=mark)
         owner = self.owner(shard_of(record.digest))
         if owner is not NOTHING:
             verdict = await self.ask_owner(owner, marked, OWNER_WITHIN)
@@ -267,6 +271,6 @@
         self.state.clock.callLater(
             ORPHAN_AFTER,
             lambda: defer.ensureDeferred(
-                self.write_mark(record, Mark.RELEASED)
+                self.write_mark(record, ClaimState.RELEASED)
             ),
         )
--- a/src/hyssopspring/net/dispatching.py
+++ b/src/hyssopspring/net/dispatching.py
@@ -175,7 +175,7 @@
         state.timeline.note(
             EventKind.ATTEMPT, request=request.id, server=entry.name
         )
-        state.table.begin(entry.name)
+        state.table.record_attempt(entry.name)
         began = state.clock.seconds()
         outcome = NOTHING
         try:
@@ -222,12 +222,16 @@
         """Count the end of an attempt at a backend server."""
         now = self.state.clock.seconds()
         failed = getattr(outcome, "reason", NOTHING) in BLAMED
-        first = making = NOTHING
+        first = transfer_seconds = NOTHING
         if sink.first_at is not NOTHING:
             first = sink.first_at - began
-            making = now - sink.first_at
-        paused = self.state.table.finish(
-            name, now, failed=failed, first_token=first, making=making
+            transfer_seconds = now - sink.first_at
+        paused = self.state.table.record_attempt_end(
+            name,
+            now,
+            failed=failed,
+            first_token=first,
+            transfer_seconds=transfer_seconds,
         )
         if paused:
             self.state.timeline.note(
@@ -249,7 +253,7 @@
         def loaded(data):
             self.take_centre_load(step, data)
 
-        state.centres.begin(step.summary.data_centre)
+        state.centres.record_forward(step.summary.data_centre)
         return await self.send(request, call, sink, loaded)
 
     def take_load(self, server, data):
@@ -258,7 +262,7 @@
             load = LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
             return
-        self.state.table.take_report(
+        self.state.table.apply_report(
             server, reported_load(load, self.state.clock.seconds())
         )
 
@@ -268,7 +272,7 @@
             load = CENTRE_LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
             return
-        self.state.centres.refresh(
+        self.state.centres.apply_load(
             step.summary.data_centre,
             step.target,
             load,
--- a/src/hyssopspring/net/forwarding.py
+++ b/src/hyssopspring/net/forwarding.py
@@ -131,7 +131,7 @@
     def load_of(self, head):
         """Return slots, load and wait of the target, for the sender."""
         target = Target(TargetKind(head.kind), head.target)
-        totals = self.state.table.summary(self.state.clock.seconds())
+        totals = self.state.table.summarize(self.state.clock.seconds())
         return msgspec.json.encode(totals.get(target, (0, 0.0, 0.0)))
 
     async def carry_out(self, http_request, request, message, sink):
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -6,26 +6,26 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, ProtocolError
 from ..core.outcomes import NotRun, Reason
-from ..core.pacing import Pacer
+from ..core.pacing import TokenBucket
 from ..core.sentinels import NOTHING
 from ..core.shares import (
-    HOME_FLOOR,
-    LEDGERS,
+    HOME_MIN_SHARE,
+    LEDGER_COUNT,
     NO_HOLDING,
-    WHOLE,
+    TOTAL_UNITS,
     Ledger,
+    ShareDemand,
     Usage,
-    Want,
+    allocate,
     decode_ledger,
     encode_ledger,
     ledger_of,
-    settle,
 )
 from ..stores.keyvalues import Applied
 
 SHARES_PREFIX = "/hyssop/shares/"
 FLEET_WRITES_PER_SECOND = 100.0
-WRITE_BURST = LEDGERS
+WRITE_BURST = LEDGER_COUNT
 ASK_AGAIN = 1.0
 ADJUST = 0.2
 RENEW_BEFORE = 3600.0
@@ -56,7 +56,7 @@
         self.failed = failed
         self.usages = {}
         self.working = {}
-        self.pacer = Pacer(FLEET_WRITES_PER_SECOND, WRITE_BURST)
+        self.pacer = TokenBucket(FLEET_WRITES_PER_SECOND, WRITE_BURST)
 
     async def carry_out(self, request, run):
         """Run the request if its workspace's limits allow it.
@@ -69,7 +69,7 @@
         if limits is NOTHING:
             return await run()
         usage = self.usages.setdefault(request.workspace, Usage())
-        usage.asked += 1
+        usage.requested += 1
         refused = await self.admit(request.workspace, usage, limits)
         if refused is not NOTHING:
             return NotRun(REASONS[refused])
@@ -92,20 +92,20 @@
         """Take from the share; ask for a larger one first if it is due."""
         now = self.state.clock.seconds()
         number = ledger_of(workspace)
-        refused = usage.take(limits, now, self.wall())
-        lately = now - usage.tried_at < ASK_AGAIN
+        refused = usage.try_start(limits, now, self.wall())
+        lately = now - usage.last_request_at < ASK_AGAIN
         if refused is NOTHING or (lately and number not in self.working):
             return refused
-        usage.tried_at = now
+        usage.last_request_at = now
         await self.settle(number)
-        return usage.take(limits, self.state.clock.seconds(), self.wall())
+        return usage.try_start(limits, self.state.clock.seconds(), self.wall())
 
     def tick(self):
         """Adapt shares to demand; called once a second."""
         hosts = len(self.peers.entries) + 1
         self.pacer.rate = FLEET_WRITES_PER_SECOND / hosts
         for usage in self.usages.values():
-            usage.measure(MEASURE_EVERY)
+            usage.update_demand(MEASURE_EVERY)
         for workspace in self.state.keeper.enforced.workspaces:
             if self.floor(workspace) and self.limits(workspace):
                 self.usages.setdefault(workspace, Usage())
@@ -123,10 +123,10 @@
         wanted = 0
         if limits is not NOTHING:
             wanted = usage.wanted(limits, self.floor(workspace))
-        if usage.units and usage.until - self.wall() < RENEW_BEFORE:
+        if usage.units and usage.expires_at - self.wall() < RENEW_BEFORE:
             return True
         gap = abs(wanted - usage.units)
-        return gap > max(ADJUST * usage.units, WHOLE // 200)
+        return gap > max(ADJUST * usage.units, TOTAL_UNITS // 200)
 
     def floor(self, workspace):
         """Return the units that a host of the home region keeps.
@@ -142,7 +142,7 @@
             for entry in self.peers.entries.values()
             if entry.region == self.state.region
         )
-        return int(WHOLE * HOME_FLOOR / at_home)
+        return int(TOTAL_UNITS * HOME_MIN_SHARE / at_home)
 
     def settle(self, number):
         """Bring one ledger up to date; return a deferred.
@@ -169,7 +169,7 @@
     async def settle_ledger(self, number):
         """Write what this host wants, and use what it got."""
         for _ in range(TRIES):
-            if not self.pacer.take(self.state.clock.seconds()):
+            if not self.pacer.try_take(self.state.clock.seconds()):
                 return
             try:
                 if await self.swap(number):
@@ -188,7 +188,7 @@
         before, revision = Ledger(), 0
         if entry is not NOTHING:
             before, revision = decode_ledger(entry.value), entry.revision
-        after = settle(
+        after = allocate(
             before, self.state.host, self.all_wants(number), self.wall()
         )
         held = self.own_holdings(number, after)
@@ -203,12 +203,12 @@
         for workspace, holding in held.items():
             usage = self.usages[workspace]
             usage.units = holding.units
-            usage.until = holding.until
+            usage.expires_at = holding.expires_at
         self.state.timeline.note(EventKind.SHARES_CHANGED, ledger=number)
         return True
 
     def all_wants(self, number):
-        """Return the `Want` by workspace for one ledger."""
+        """Return the `ShareDemand` by workspace for one ledger."""
         return {
             workspace: self.wants(workspace, usage)
             for workspace, usage in self.usages.items()
@@ -226,9 +226,9 @@
         }
 
     def wants(self, workspace, usage):
-        """Return the `Want` of this host for a workspace."""
+        """Return the `ShareDemand` of this host for a workspace."""
         limits = self.limits(workspace)
         if limits is NOTHING:
-            return Want()
+            return ShareDemand()
         units = usage.wanted(limits, self.floor(workspace))
-        return Want(units, usage.busy(limits))
+        return ShareDemand(units, usage.busy_units(limits))
--- a/src/hyssopspring/net/membership.py
+++ b/src/hyssopspring/net/membership.py
@@ -6,7 +6,7 @@
 from ..core.events import EventKind
 from ..core.exceptions import NoAnswerError, ProtocolError
 from ..core.hashing import short_id
-from ..core.membership import HEARTBEAT_EVERY
+from ..core.membership import HEARTBEAT_INTERVAL_SECONDS
 from ..core.placement import CentreSummary
 from ..core.requests import Target, TargetKind
 from ..core.sentinels import NOTHING
@@ -78,7 +78,7 @@
         self.bus.connect(self.peers.control_addresses())
         self.send_heartbeat()
         now = self.state.clock.seconds()
-        if self.peers.reports(now) and now >= self.summary_due:
+        if self.peers.is_reporter(now) and now >= self.summary_due:
             self.send_summary(now)
         return self.poll_servers(now)
 
@@ -121,7 +121,10 @@
         loads = []
         for name, server in self.state.table.servers.items():
             report = server.report
-            if report is NOTHING or now - report.at > HEARTBEAT_EVERY:
+            if (
+                report is NOTHING
+                or now - report.at > HEARTBEAT_INTERVAL_SECONDS
+            ):
                 continue
             if not self.peers.owns(name, now):
                 continue
@@ -169,14 +172,14 @@
         self.summary_every = every
         message = msgspec.structs.replace(message, every=every)
         self.bus.publish(SUMMARY_TOPIC, message)
-        self.summary_due = now + every - HEARTBEAT_EVERY / 2
+        self.summary_due = now + every - HEARTBEAT_INTERVAL_SECONDS / 2
 
     def local_gateways(self, now):
         """Return where other data centres can forward requests to."""
         addresses = [
             entry.forward
             for host, entry in self.peers.entries.items()
-            if self.peers.is_local(host) and self.peers.usable(host, now)
+            if self.peers.is_local(host) and self.peers.is_usable(host, now)
         ]
         if not self.drain.leaving:
             addresses.append(self.forward_address)
@@ -185,8 +188,8 @@
     def hear(self, message):
         """Take in a message of another host."""
         now = self.state.clock.seconds()
-        self.state.timeline.clock.witness(message.millis, message.counter)
-        if not self.peers.hear(message, now):
+        self.state.timeline.clock.advance_past(message.millis, message.counter)
+        if not self.peers.apply_message(message, now):
             return
         if message.generation > self.state.keeper.generation:
             self.newer(message.host, message.generation)
@@ -195,7 +198,7 @@
         if isinstance(message, Summary):
             if message.data_centre == self.state.data_centre:
                 return
-            self.state.centres.take(centre_summary(message, now))
+            self.state.centres.apply_summary(centre_summary(message, now))
         elif isinstance(message, Heartbeat):
             self.take_heartbeat(message, now)
 
@@ -206,7 +209,7 @@
         fetched, since it may withdraw a right.
         """
         if isinstance(message, Heartbeat) and message.contact:
-            self.state.trust.hear_neighbour(now)
+            self.state.trust.record_neighbour_contact(now)
 
     def take_heartbeat(self, message, now):
         """Take over the loads that a host of this data centre took."""
@@ -226,7 +229,7 @@
         if server is None:
             return
         before = server.leaving
-        self.state.table.take_report(name, report)
+        self.state.table.apply_report(name, report)
         if server.leaving and not before:
             self.note_leaving(name, self.state.host)
 
@@ -280,7 +283,7 @@
             load=round(load, 2),
             wait=round(wait, 4),
         )
-        for target, (slots, load, wait) in table.summary(now).items()
+        for target, (slots, load, wait) in table.summarize(now).items()
     ]
 
 
--- a/src/hyssopspring/records.py
+++ b/src/hyssopspring/records.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from .core.exceptions import ProtocolError
-from .core.shares import WHOLE
+from .core.shares import TOTAL_UNITS
 
 __all__ = ["Record", "cause_of", "read_records", "record_line"]
 
@@ -202,7 +202,7 @@
     Args:
         details: Those of the record of the refusal, by name.
     """
-    share = int(details["units"]) / WHOLE
+    share = int(details["units"]) / TOTAL_UNITS
     return (
         f", workspace {details['workspace']} asked for {details['cost']} "
         f"tokens with {details['left']} left at {details['counted_by']}, "
--- a/src/hyssopspring/stores/claimlogs.py
+++ b/src/hyssopspring/stores/claimlogs.py
@@ -6,17 +6,17 @@
 from twisted.internet import defer, task
 
 from ..core.claims import (
-    RETENTION,
+    RETENTION_SECONDS,
     ClaimIndex,
-    Mark,
+    ClaimState,
     Segment,
     Verdict,
-    append,
+    append_records,
     decode_segment,
     encode_segment,
-    follow,
     is_full,
-    seal,
+    next_segment,
+    seal_segment,
 )
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, ProtocolError, ensure
@@ -58,7 +58,7 @@
         shard: Number of the shard.
         clock: The runtime's clock.
         wall: Callable that returns the wall clock in seconds.
-        pacer: `Pacer` of the shard's writes.
+        pacer: `TokenBucket` of the shard's writes.
         timeline: The `Timeline`.
         health: `Health` of the service, over all logs of the host.
         retention: Seconds for which records are kept.
@@ -74,7 +74,7 @@
         pacer,
         timeline,
         health,
-        retention=RETENTION,
+        retention=RETENTION_SECONDS,
     ):
         self.store = store
         self.prefix = f"{CLAIMS_PREFIX}{shard}/"
@@ -112,7 +112,7 @@
             while the service is known to be down.
         """
         full = len(self.pending) >= MOST_PENDING
-        claim = record.mark is Mark.CLAIMED
+        claim = record.state is ClaimState.CLAIMED
         if full or (claim and self.health.down):
             return defer.succeed(Verdict.UNAVAILABLE)
         waiting = Pending(record, give_up, defer.Deferred())
@@ -172,11 +172,11 @@
             entry = await self.store.get(self.closed_key(number))
             if entry is NOTHING:
                 raise KeyValueError("the claim log is from the past")
-            self.index.fold_segment(decode_segment(entry.value))
+            self.index.apply_segment(decode_segment(entry.value))
 
     def take_open(self, segment, revision):
         """Take over the open segment as it is at *revision*."""
-        self.index.fold_segment(segment)
+        self.index.apply_segment(segment)
         self.index.revision = revision
         self.open = segment
         self.known = True
@@ -191,13 +191,13 @@
             return
         await self.wait_turn()
         records = [waiting.record for waiting in group]
-        segment = append(self.open, records)
+        segment = append_records(self.open, records)
         result = await self.write_open(segment)
         if result is NOTHING:
             await task.deferLater(self.clock, CONFLICT_PAUSE)
             return
         self.commits += 1
-        self.health.succeed()
+        self.health.record_success()
         self.take_open(segment, result.revision)
         self.timeline.note(
             EventKind.CLAIM_COMMITTED, shard=self.prefix, records=len(records)
@@ -225,7 +225,7 @@
         digests = set()
         for item in self.pending:
             record = item.record
-            if self.index.is_noted(record):
+            if self.index.is_redundant(record):
                 verdict = self.index.verdict(record.digest, record.nonce, wall)
                 item.done.callback(verdict or Verdict.UNKNOWN)
                 continue
@@ -245,8 +245,8 @@
         is the shard's own: with one for all shards of a host, those that
         wait would overtake each other, and some never get their turn.
         """
-        while not self.pacer.take(self.clock.seconds()):
-            pause = self.pacer.wait(self.clock.seconds())
+        while not self.pacer.try_take(self.clock.seconds()):
+            pause = self.pacer.time_to_token(self.clock.seconds())
             await task.deferLater(self.clock, max(pause, 0.001))
 
     async def write_open(self, segment):
@@ -281,14 +281,16 @@
         more. Only the swap of the open segment decides.
         """
         wall = self.wall()
-        full = seal(self.open, wall)
+        full = seal_segment(self.open, wall)
         result = await self.store.swap(
             self.closed_key(full.number), encode_segment(full), 0
         )
         if not isinstance(result, Applied | NotApplied):
             raise KeyValueError(result.reason)
         self.index.sealed[full.number] = full.sealed_at
-        after = follow(self.open, self.index.sealed, wall, self.retention)
+        after = next_segment(
+            self.open, self.index.sealed, wall, self.retention
+        )
         dropped = range(self.open.first, after.first)
         result = await self.write_open(after)
         if result is NOTHING:
@@ -300,7 +302,7 @@
         """Remove segments that are older than the retention."""
         if not numbers:
             return
-        self.index.forget(wall - self.retention)
+        self.index.drop_expired(wall - self.retention)
         for number in numbers:
             key = self.closed_key(number)
             entry = await self.store.get(key)
@@ -316,11 +318,11 @@
         Marks wait, as no caller waits for them.
         """
         self.known = False
-        if self.health.fail():
+        if self.health.record_failure():
             self.timeline.note(EventKind.CLAIM_UNAVAILABLE, why=error)
         kept = deque()
         for item in self.pending:
-            if item.record.mark is Mark.CLAIMED:
+            if item.record.state is ClaimState.CLAIMED:
                 item.done.callback(Verdict.UNAVAILABLE)
             else:
                 kept.append(item)
--- a/src/hyssopspring/stores/following.py
+++ b/src/hyssopspring/stores/following.py
@@ -7,7 +7,7 @@
 from ..core.exceptions import KeyValueError, PlatformError, ProtocolError
 from ..core.membership import PeerEntry
 from ..core.sentinels import NOTHING
-from ..core.trust import Level
+from ..core.trust import TrustLevel
 from .keyvalues import Applied, NotApplied
 
 FIRST_POLL = 2.5
@@ -55,9 +55,9 @@
         keeper = self.state.keeper
         unsure = self.is_unsure()
         if unsure:
-            for host in self.peers.sources():
+            for host in self.peers.verification_sources():
                 self.fetch(host)
-        watching = self.peers.watches(now)
+        watching = self.peers.is_watcher(now)
         if watching and self.watch is NOTHING:
             self.watch = self.store.watch(ACCEPTED_KEY, self.changed)
         if not watching and self.watch is not NOTHING:
@@ -72,7 +72,7 @@
         """Return the seconds between two readings beside the watch."""
         if unsure:
             return UNSURE_POLL
-        return FIRST_POLL if self.peers.reports(now) else SECOND_POLL
+        return FIRST_POLL if self.peers.is_reporter(now) else SECOND_POLL
 
     def stop(self):
         """End the watch."""
@@ -118,15 +118,15 @@
     def is_unsure(self):
         """Whether only a configuration that is surely the newest helps."""
         level = self.state.trust.level(self.state.clock.seconds())
-        return not self.state.keeper.generation or level is not Level.FULL
+        return not self.state.keeper.generation or level is not TrustLevel.FULL
 
     def note_contact(self, asked_at, *, verified):
         """Note that the platform gave its configuration."""
         trust = self.state.trust
         if verified:
-            trust.verify(asked_at)
+            trust.record_verification(asked_at)
         now = self.state.clock.seconds()
-        trust.hear_direct(asked_at, now, verified=verified)
+        trust.record_platform_reply(asked_at, now, verified=verified)
 
     async def verify(self, entry):
         """Return what the platform holds now, or `NOTHING`.
@@ -203,7 +203,7 @@
         accepted = await self.pages.config(entry.forward)
         if accepted is not NOTHING and accepted.generation:
             self.offer(accepted, entry.host)
-            self.state.trust.verify(asked_at)
+            self.state.trust.record_verification(asked_at)
 
 
 class HostFollower:
@@ -233,7 +233,7 @@
         now = self.state.clock.seconds()
         if self.reading or now < self.due:
             return defer.succeed(None)
-        watching = self.peers.watches(now) or not self.complete
+        watching = self.peers.is_watcher(now) or not self.complete
         self.due = now + (HOSTS_POLL if watching else IDLE_HOSTS_POLL)
         self.due -= HOSTS_POLL / 2
         self.reading = True
@@ -254,7 +254,7 @@
             return
         self.complete = True
         now = self.state.clock.seconds()
-        self.state.trust.hear_direct(asked_at, now)
+        self.state.trust.record_platform_reply(asked_at, now)
         self.take(listed)
 
     def take(self, listed):
--- a/src/hyssopspring_fakes/fleet.py
+++ b/src/hyssopspring_fakes/fleet.py
@@ -213,7 +213,7 @@
         for gateway in self.gateways.values():
             if gateway.drain.leaving:
                 continue
-            live = gateway.peers.live(now)
+            live = gateway.peers.live_hosts(now)
             if len(live) < self.shape.gateways:
                 return False
             summaries = gateway.state.centres.summaries
--- a/src/hyssopspring_fakes/limitload.py
+++ b/src/hyssopspring_fakes/limitload.py
@@ -160,7 +160,7 @@
         """Make one try; return the seconds to wait, or `NOTHING`."""
         counting = rng.choice(self.counting[region])
         key = (region, len(self.passed), self.asked)
-        short = counting.take(WORKSPACE, self.limit, cost, now, key)
+        short = counting.try_take(WORKSPACE, self.limit, cost, now, key)
         if short is NOTHING:
             self.served += cost
             self.passed.append((now, cost))
@@ -170,8 +170,8 @@
     def ask_others(self, now):
         """Let each region ask the others for tokens."""
         for asker, [limits] in enumerate(self.counting):
-            limits.settle_all(lambda _: self.limit, now)
-            wish = limits.wish(WORKSPACE, self.limit, now)
+            limits.refill_all(lambda _: self.limit, now)
+            wish = limits.tokens_to_request(WORKSPACE, self.limit, now)
             for giver in range(len(REGIONS)):
                 if wish and giver != asker:
                     way = (now + ONE_WAY, self.give, giver, asker, wish, now)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -23,7 +23,7 @@
 from hyssopspring.config.accepting import Acceptor
 from hyssopspring.core.accepted import (
     ACCEPTED_KEY,
-    FOLDER_PREFIX,
+    FILES_PREFIX,
     Accepted,
     GenerationKeeper,
     Verdict,
@@ -35,7 +35,7 @@
 from hyssopspring.core.membership import PeerEntry, PeerTable
 from hyssopspring.core.requests import Target, TargetKind
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.core.trust import Level, Trust
+from hyssopspring.core.trust import Trust, TrustLevel
 from hyssopspring.stores.following import ConfigFollower
 from hyssopspring.stores.hosts import HostList, HostRow
 from hyssopspring_fakes.memory import MemoryKeyValue
@@ -212,15 +212,15 @@
         """Do one host's periodic work, heartbeats included."""
         now = self.clock.seconds()
         trust = host.state.trust
-        trust.wake(now)
+        trust.record_wakeup(now)
         if not host.cut and not self.store.faults.down:
-            trust.hear_direct(now, now)
+            trust.record_platform_reply(now, now)
         for other in self.hosts.values():
             if other is host or not self.reaches(other.name, host.name):
                 continue
             self.hear(host, other, now)
         host.follower.tick()
-        trust.neighbours = lambda at: host.peers.neighbours_agree(
+        trust.neighbours = lambda at: host.peers.neighbours_up_to_date(
             at, host.state.keeper.generation
         )
 
@@ -228,7 +228,7 @@
         """Let *host* hear a message of *other*."""
         generation = other.state.keeper.generation
         host.sequence += 1
-        host.peers.hear(
+        host.peers.apply_message(
             SimpleNamespace(
                 host=other.name,
                 incarnation="i",
@@ -243,7 +243,7 @@
             return
         contact = other.state.trust.in_contact(now)
         if contact and other.region == host.region:
-            host.state.trust.hear_neighbour(now)
+            host.state.trust.record_neighbour_contact(now)
 
     def check_rights(self):
         """Assert that no gateway uses a right that is withdrawn.
@@ -269,7 +269,7 @@
 
     def put(self, name, text):
         """Write a file as an operator does."""
-        key = FOLDER_PREFIX + name
+        key = FILES_PREFIX + name
         known = self.store.current(key)
         data = None if text is None else text.encode()
         if known or data is not None:
@@ -382,9 +382,9 @@
         truth = self.fleet.truth()
         assert truth.proposal is None
         for entry_key, (content, revision) in self.fleet.store.entries.items():
-            if not entry_key.startswith(FOLDER_PREFIX):
+            if not entry_key.startswith(FILES_PREFIX):
                 continue
-            state = truth.files[entry_key[len(FOLDER_PREFIX) :]]
+            state = truth.files[entry_key[len(FILES_PREFIX) :]]
             assert state.revision == revision
             if state.verdict is Verdict.ACCEPTED:
                 assert state.content == content.decode()
@@ -616,7 +616,7 @@
     fleet.advance(6)
     host = fleet.hosts["arusha-1"]
     now = fleet.clock.seconds()
-    host.state.trust.hear_direct(now, now)
+    host.state.trust.record_platform_reply(now, now)
     fleet.check_rights()
     fleet.set_cut("arusha-1", False)
     fleet.store.faults.stale = 3
@@ -646,12 +646,12 @@
     fleet.store.faults.down = True
     fleet.read = unreadable
     fleet.advance(30)
-    assert_that(set(levels(fleet).values()), Equals({Level.FULL}))
+    assert_that(set(levels(fleet).values()), Equals({TrustLevel.FULL}))
     fleet.set_cut("arusha-1", True)
     fleet.advance(3)
     found = levels(fleet)
-    assert_that(found["arusha-0"], Equals(Level.HOME_ONLY))
-    assert_that(found["dar-0"], Equals(Level.FULL))
+    assert_that(found["arusha-0"], Equals(TrustLevel.HOME_ONLY))
+    assert_that(found["dar-0"], Equals(TrustLevel.FULL))
 
 
 async def unreadable():
@@ -697,13 +697,13 @@
     """
     trust = Trust(0.0)
     everywhere = frozenset(REGIONS)
-    trust.hear_direct(1.0, 1.0)
-    trust.wake(1.0)
+    trust.record_platform_reply(1.0, 1.0)
+    trust.record_wakeup(1.0)
     assert trust.permitted(everywhere, "dar", "arusha", 1.1) == everywhere
     assert trust.permitted(everywhere, "dar", "arusha", 9.0) is NOTHING
-    trust.hear_direct(9.1, 9.1, verified=True)
-    trust.verify(1.0)
+    trust.record_platform_reply(9.1, 9.1, verified=True)
+    trust.record_verification(1.0)
     assert trust.permitted(everywhere, "dar", "arusha", 9.2) is NOTHING
     assert trust.permitted(everywhere, "arusha", "arusha", 9.2) == {"arusha"}
-    trust.verify(9.1)
+    trust.record_verification(9.1)
     assert trust.permitted(everywhere, "dar", "arusha", 9.3) == everywhere
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -16,10 +16,10 @@
 from twisted.internet.task import Clock
 
 from hyssopspring.core import claims as core
-from hyssopspring.core.claims import Mark, Record, Verdict, key_digest
+from hyssopspring.core.claims import ClaimState, Record, Verdict, key_digest
 from hyssopspring.core.events import HybridClock, Timeline
 from hyssopspring.core.health import Health
-from hyssopspring.core.pacing import Pacer
+from hyssopspring.core.pacing import TokenBucket
 from hyssopspring.stores.claimlogs import ClaimLog
 from hyssopspring_fakes.memory import MemoryKeyValue
 from hyssopspring_fakes.stores import Store
@@ -51,7 +51,7 @@
             0,
             self.clock,
             wall=self.clock.seconds,
-            pacer=Pacer(1000.0, 50.0),
+            pacer=TokenBucket(1000.0, 50.0),
             timeline=Timeline(str(host), HybridClock(self.clock.seconds)),
             health=Health(),
             retention=1e9,
@@ -61,7 +61,7 @@
         """Have a host claim a key; return the list its verdict goes to."""
         self.number += 1
         nonce = self.number.to_bytes(8, "big")
-        record = Record(key_digest("w", key), nonce, Mark.CLAIMED, 10**6)
+        record = Record(key_digest("w", key), nonce, ClaimState.CLAIMED, 10**6)
         give_up = self.clock.seconds() + 1.5
         verdicts = []
 
@@ -74,20 +74,20 @@
         self.logs[host].submit(record, give_up).addCallback(decided)
         return verdicts
 
-    def conclude(self, place, mark):
+    def conclude(self, place, state):
         """Have a holder say how its request ended."""
         host, key, record = self.held.pop(place % len(self.held))
-        if mark is Mark.RELEASED:
+        if state is ClaimState.RELEASED:
             who = record.nonce.hex()
             self.history.append(Step("released", key, who))
-        marked = Record(record.digest, record.nonce, mark, record.until)
+        marked = Record(record.digest, record.nonce, state, record.expires_at)
         self.logs[host].submit(marked, self.clock.seconds() + 60)
 
     def advance(self, seconds):
         """Let time pass in small steps; probes find the service back."""
         for log in self.logs.values():
             if not self.store.faults.down:
-                log.health.succeed()
+                log.health.record_success()
         for _ in range(int(seconds / 0.002)):
             self.clock.advance(0.002)
 
@@ -97,12 +97,12 @@
 
     def __init__(self):
         super().__init__()
-        core.SEGMENT_RECORDS = 3
+        core.MAX_SEGMENT_RECORDS = 3
         self.fleet = Fleet()
 
     def teardown(self):
         """Restore the segment size."""
-        core.SEGMENT_RECORDS = 400
+        core.MAX_SEGMENT_RECORDS = 400
 
     @rule(host=st.integers(0, HOSTS - 1), key=st.sampled_from(KEYS))
     def claim(self, host, key):
@@ -111,12 +111,14 @@
 
     @rule(
         place=st.integers(0, 9),
-        mark=st.sampled_from([Mark.DONE, Mark.RELEASED, Mark.UNKNOWN]),
+        state=st.sampled_from(
+            [ClaimState.DONE, ClaimState.RELEASED, ClaimState.UNKNOWN]
+        ),
     )
-    def conclude(self, place, mark):
+    def conclude(self, place, state):
         """End a request whose key was granted."""
         if self.fleet.held:
-            self.fleet.conclude(place, mark)
+            self.fleet.conclude(place, state)
 
     @rule(seconds=st.sampled_from([0.002, 0.006, 0.02, 0.6, 1.2]))
     def advance(self, seconds):
@@ -224,7 +226,10 @@
     )
     fleet.clients[0].write_delay = 0.0
     released = Record(
-        key_digest("w", "k"), (2).to_bytes(8, "big"), Mark.RELEASED, 10**6
+        key_digest("w", "k"),
+        (2).to_bytes(8, "big"),
+        ClaimState.RELEASED,
+        10**6,
     )
     fleet.logs[0].submit(released, 1e9)
     fleet.advance(2.0)
@@ -253,7 +258,7 @@
 
 def test_segments_roll_and_keep_what_they_hold():
     """Keys of closed segments stay claimed for a host that starts anew."""
-    core.SEGMENT_RECORDS = 3
+    core.MAX_SEGMENT_RECORDS = 3
     try:
         fleet = Fleet()
         for number in range(20):
@@ -263,5 +268,5 @@
         verdicts = fleet.claim(1, "key-0")
         fleet.advance(0.5)
     finally:
-        core.SEGMENT_RECORDS = 400
+        core.MAX_SEGMENT_RECORDS = 400
     assert_that(verdicts, Equals([Verdict.IN_PROGRESS]))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -9,7 +9,7 @@
 from twisted.web.client import ResponseFailed
 
 from hyssopspring.config.acceptance import Judge, RawFile
-from hyssopspring.core.trust import LONGEST_SILENCE
+from hyssopspring.core.trust import MAX_CONTACT_AGE_SECONDS
 from hyssopspring.net.forwarding import FORWARD_PATH
 from hyssopspring_fakes.fleet import Shape
 
@@ -359,7 +359,10 @@
     other.ports.clear()
     trust = fleet.gateways["dar-0"].state.trust
     await fleet.until(
-        lambda: fleet.reactor.seconds() - trust.heard_at > LONGEST_SILENCE
+        lambda: (
+            fleet.reactor.seconds() - trust.last_contact_at
+            > MAX_CONTACT_AGE_SECONDS
+        )
     )
     status, _, _ = await caller.complete("dar-0")
     assert_that(status, Equals(200))
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -127,7 +127,7 @@
     socket.linger = 0
     port = socket.bind_to_random_port("tcp://127.0.0.1")
     gateway.bus.subscriber.connect(f"tcp://127.0.0.1:{port}")
-    ring = gateway.timeline.ring
+    ring = gateway.timeline.recent_events
 
     def refusals():
         return [
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -24,7 +24,7 @@
 )
 from hyssopspring.core.events import HybridClock, Timeline
 from hyssopspring.core.outcomes import Answered
-from hyssopspring.core.shares import WHOLE, fair_units
+from hyssopspring.core.shares import TOTAL_UNITS, fair_units
 from hyssopspring.net import limiting
 from hyssopspring_fakes.memory import MemoryKeyValue
 from hyssopspring_fakes.stores import Store
@@ -125,7 +125,7 @@
         for _ in range(round(seconds / 0.002)):
             before = int(self.clock.seconds())
             self.clock.advance(0.002)
-            assert self.in_use() <= WHOLE, "more in use than the whole"
+            assert self.in_use() <= TOTAL_UNITS, "more in use than the whole"
             assert self.active <= CONCURRENT, "more running than allowed"
             assert not self.failures, self.failures[0].getErrorMessage()
             if int(self.clock.seconds()) > before:
@@ -136,7 +136,7 @@
         """Return the units that all hosts together use."""
         wall = self.clock.seconds()
         return sum(
-            usage.usable(wall)
+            usage.usable_units(wall)
             for limits in self.limits.values()
             for usage in limits.usages.values()
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -163,15 +163,15 @@
     tables = {host: make_peers(host, hosts) for host in left}
     for table in tables.values():
         for host in hosts:
-            table.hear(beat(host, 1), 0.0)
+            table.apply_message(beat(host, 1), 0.0)
         for host in left:
-            table.hear(beat(host, 2), 4.0)
+            table.apply_message(beat(host, 2), 4.0)
     owners = {
         server: [h for h in left if tables[h].owns(server, 4.5)]
         for server in servers
     }
     assert all(len(found) == 1 for found in owners.values())
-    watchers = [host for host in left if tables[host].watches(4.5)]
+    watchers = [host for host in left if tables[host].is_watcher(4.5)]
     assert_that(len(watchers), Equals(2))
 
 
@@ -185,9 +185,9 @@
     leaving = SimpleNamespace(
         host="b", incarnation="i", sequence=5, generation=0, leaving=True
     )
-    assert peers.hear(leaving, 1.0)
-    assert not peers.hear(beat("b", 4), 1.1)
-    assert not peers.usable("b", 1.2)
+    assert peers.apply_message(leaving, 1.0)
+    assert not peers.apply_message(beat("b", 4), 1.1)
+    assert not peers.is_usable("b", 1.2)
 
 
 def test_server_that_left_is_back_only_with_a_new_incarnation():
@@ -203,7 +203,7 @@
     table.replace([entry])
 
     def take(incarnation, sequence, leaving):
-        table.take_report(
+        table.apply_report(
             "s",
             LoadReport(
                 incarnation=incarnation,
@@ -220,9 +220,9 @@
     take("one", 2, True)
     table.replace([entry])
     take("one", 1, False)
-    assert_that(table.serving(MODEL, 0.0), Equals([]))
+    assert_that(table.available_servers(MODEL, 0.0), Equals([]))
     take("two", 1, False)
-    assert_that(len(table.serving(MODEL, 0.0)), Equals(1))
+    assert_that(len(table.available_servers(MODEL, 0.0)), Equals(1))
 
 
 def test_late_load_report_does_not_replace_a_newer_one():
@@ -244,7 +244,7 @@
         ]
     )
     for sequence, running in ((2, 9), (1, 0)):
-        table.take_report(
+        table.apply_report(
             "s",
             LoadReport(
                 incarnation=1,
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 
 from hyssopspring.core.budgets import RetryBudget
-from hyssopspring.core.choice import CHOICES
+from hyssopspring.core.choice import POLICIES
 from hyssopspring.core.configuration import (
     Configuration,
     Offer,
@@ -49,7 +49,7 @@
         for number in range(len(draw_loads))
     )
     for number, load in enumerate(draw_loads):
-        table.take_report(
+        table.apply_report(
             f"s{number}",
             LoadReport(
                 incarnation="i",
@@ -68,7 +68,7 @@
     """Return summaries of the other regions."""
     centres = CentreTable("dar")
     for region, load in zip(REGIONS[1:], spare, strict=True):
-        centres.take(
+        centres.apply_summary(
             CentreSummary(
                 region=region,
                 data_centre=f"{region}-a",
@@ -90,7 +90,7 @@
     key=st.sampled_from([NOTHING, "k"]),
     path=st.sampled_from([(), ("other",)]),
     attempts=st.integers(1, 3),
-    policy=st.sampled_from(sorted(CHOICES)),
+    policy=st.sampled_from(sorted(POLICIES)),
 )
 def test_plan_keeps_its_promises(
     loads,
@@ -238,7 +238,7 @@
     budget = RetryBudget()
     retries = 0
     for _ in range(1000):
-        budget.earn()
-        retries += budget.spend()
-        retries += budget.spend()
-    assert retries <= 0.2 * 1000 + budget.reserve
+        budget.deposit()
+        retries += budget.try_withdraw()
+        retries += budget.try_withdraw()
+    assert retries <= 0.2 * 1000 + budget.max_balance
--- a/tests/test_tokenlimits.py
+++ b/tests/test_tokenlimits.py
@@ -39,17 +39,17 @@
 def test_a_host_that_starts_gives_no_burst():
     """All hosts start together, and a workspace gets a burst at each."""
     limits = counting()
-    refused = limits.take("a", PLAIN, 500, 0.0, "r1")
+    refused = limits.try_take("a", PLAIN, 500, 0.0, "r1")
     assert_that(refused.seconds, Equals(0.5))
-    assert_that(limits.take("a", PLAIN, 500, 0.6, "r2"), Is(NOTHING))
+    assert_that(limits.try_take("a", PLAIN, 500, 0.6, "r2"), Is(NOTHING))
 
 
 def test_a_request_larger_than_the_bucket_passes_and_leaves_a_debt():
     """The largest requests of a small workspace are refused for ever."""
     limits = counting()
-    limits.take("a", PLAIN, 1, 0.0, "r0")
-    assert_that(limits.take("a", PLAIN, 5000, 2.0, "r1"), Is(NOTHING))
-    refused = limits.take("a", PLAIN, 100, 2.5, "r2")
+    limits.try_take("a", PLAIN, 1, 0.0, "r0")
+    assert_that(limits.try_take("a", PLAIN, 5000, 2.0, "r1"), Is(NOTHING))
+    refused = limits.try_take("a", PLAIN, 100, 2.5, "r2")
     assert_that(refused.seconds, GreaterThan(3.0))
 
 
@@ -60,53 +60,53 @@
     """
     limits = counting()
     for number in range(100):
-        refused = limits.take("a", PLAIN, 100, number * 0.01, number)
+        refused = limits.try_take("a", PLAIN, 100, number * 0.01, number)
     assert_that(refused.seconds, GreaterThan(3.0))
 
 
 def test_what_has_not_run_is_given_back_once():
     """A request that a full server rejected is counted, or counted twice."""
     limits = counting()
-    limits.take("a", PLAIN, 1, 0.0, "r0")
-    limits.take("a", PLAIN, 1000, 2.0, "r1")
-    limits.give_back("r1")
-    limits.give_back("r1")
+    limits.try_take("a", PLAIN, 1, 0.0, "r0")
+    limits.try_take("a", PLAIN, 1000, 2.0, "r1")
+    limits.refund("r1")
+    limits.refund("r1")
     assert_that(limits.usages["a"].level, Equals(1000.0))
 
 
 def test_what_is_handed_over_is_there_once():
     """Tokens are used in two regions, as an answer is doubled or late."""
-    giver, asker = counting(regions=2), counting(regions=2)
-    for limits in (giver, asker):
-        limits.take("a", PLAIN, 1, 0.0, "r0")
-        limits.settle_all(lambda _: PLAIN, 10.0)
-    before = giver.usages["a"].level
-    tokens = giver.transfer_out("a", PLAIN, "far", 200, 10.0)
+    sender, requester = counting(regions=2), counting(regions=2)
+    for limits in (sender, requester):
+        limits.try_take("a", PLAIN, 1, 0.0, "r0")
+        limits.refill_all(lambda _: PLAIN, 10.0)
+    before = sender.usages["a"].level
+    tokens = sender.transfer_out("a", PLAIN, "far", 200, 10.0)
     assert_that(tokens, Equals(200))
-    assert_that(giver.usages["a"].level, Equals(before - 200))
+    assert_that(sender.usages["a"].level, Equals(before - 200))
     for _ in range(2):
-        asker.transfer_in("a", PLAIN, "near", tokens, 9.9, 10.0)
-    assert_that(asker.usages["a"].level, Equals(700.0))
-    asker.transfer_in("a", PLAIN, "other", tokens, 8.9, 10.0)
-    assert_that(asker.usages["a"].level, Equals(700.0))
+        requester.transfer_in("a", PLAIN, "near", tokens, 9.9, 10.0)
+    assert_that(requester.usages["a"].level, Equals(700.0))
+    requester.transfer_in("a", PLAIN, "other", tokens, 8.9, 10.0)
+    assert_that(requester.usages["a"].level, Equals(700.0))
 
 
 def test_a_lowered_limit_binds_a_bucket_that_was_full():
     """A workspace gets its old burst long after its limit was lowered."""
     limits = counting()
-    limits.take("a", PLAIN, 1, 0.0, "r0")
-    limits.settle_all(lambda _: PLAIN, 5.0)
+    limits.try_take("a", PLAIN, 1, 0.0, "r0")
+    limits.refill_all(lambda _: PLAIN, 5.0)
     lower = TokenLimit(rate=10.0, burst=10.0)
     for tenth in range(50, 130):
-        limits.settle_all(lambda _: lower, tenth / 10)
+        limits.refill_all(lambda _: lower, tenth / 10)
     assert_that(limits.usages["a"].level, LessThan(11.0))
 
 
 def test_a_region_keeps_what_its_own_callers_need():
     """A region gives tokens away, and refuses its own callers."""
     limits = counting(regions=2)
-    limits.take("a", PLAIN, 1, 0.0, "r0")
-    limits.take("a", PLAIN, 100, 2.0, "r1")
+    limits.try_take("a", PLAIN, 1, 0.0, "r0")
+    limits.try_take("a", PLAIN, 100, 2.0, "r1")
     limits.transfer_out("a", PLAIN, "far", 5000, 2.0)
     assert_that(limits.usages["a"].level, GreaterThan(240.0))
 
@@ -230,10 +230,10 @@
     """Two requests at the same moment are both counted."""
     clock = task.Clock()
     limits = counting()
-    limits.take("a", PLAIN, 1, clock.seconds(), "r0")
+    limits.try_take("a", PLAIN, 1, clock.seconds(), "r0")
     clock.advance(1.0)
     for number in range(3):
-        limits.take("a", PLAIN, 400, clock.seconds(), number)
+        limits.try_take("a", PLAIN, 400, clock.seconds(), number)
     assert_that(limits.usages["a"].level, LessThan(400.0))
 
 
