--- a/src/hyssopspring/core/__init__.py
+++ b/src/hyssopspring/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without input, output, wall clock or reactor."""
+"""Decision logic that does no I/O and uses neither clock nor reactor."""
--- a/src/hyssopspring/core/accepted.py
+++ b/src/hyssopspring/core/accepted.py
@@ -1,4 +1,4 @@
-"""The accepted configuration: the one value that all hosts agree on."""
+"""The accepted configuration, which is shared by all hosts."""
 
 import enum
 import zlib
@@ -15,7 +15,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What was decided on a revision of a file."""
+    """Result of the validation of a revision of a file."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FileState:
-    """What is known of one operators' file.
+    """Validation state of one configuration file.
 
     Attributes:
-        revision: Newest revision that was judged; 0 for a removal.
-        verdict: What was decided on it.
-        generation: Generation in which it was decided.
-        content: Text in force, which a refused revision does not
-            change; None if no revision is in force.
-        line: Line to which a refusal points; 0 for the whole file.
-        reason: Why it was refused.
+        revision: Newest revision that was validated; 0 for a removal.
+        verdict: Result of the validation.
+        generation: Generation in which the verdict was recorded.
+        content: Text in force. A refused revision leaves it
+            unchanged. None if no revision is in force.
+        line: Line of the error in a refused file; 0 for the whole file.
+        reason: Reason for the refusal.
     """
 
     revision: int
@@ -46,13 +46,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Proposal:
-    """A change that takes rights away and is not yet in force.
+    """A change that withdraws rights and is not yet in force.
 
     Attributes:
-        configuration: The `Configuration` that would follow.
-        files: The `FileState` by name that would follow.
-        affected: Regions whose hosts must confirm.
-        folder_revision: Revision of the folder that it was made from.
+        configuration: The `Configuration` after the change.
+        files: `FileState` by file name after the change.
+        affected: Regions whose hosts must confirm the change.
+        folder_revision: Revision of the folder that the proposal is
+            based on.
     """
 
     configuration: Configuration
@@ -63,17 +64,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Accepted:
-    """The value under `ACCEPTED_KEY`.
+    """The value stored under `ACCEPTED_KEY`.
 
     Attributes:
-        generation: Grows by one with each change of the value.
+        generation: Number that increases by one with each change.
         folder_revision: Revision of the key-value service at which the
-            folder was read; an older reading is never proposed.
+            folder was read. An older state of the folder is never
+            proposed.
         files: `FileState` by file name.
-        configuration: What is in force.
-        proposal: A change that waits for confirmation, or None.
+        configuration: The `Configuration` in force.
+        proposal: Change that awaits confirmation, or None.
         data_centres: Region of each data centre that was ever listed and
-            that operators have not taken off.
+            that operators have not removed.
     """
 
     generation: int = 0
@@ -84,11 +86,12 @@
     data_centres: dict[str, str] = field(default_factory=dict)
 
     def enforced(self):
-        """Return the `Configuration` that hosts act by.
+        """Return the `Configuration` that hosts enforce.
 
-        While a restriction is proposed, hosts act by the stricter of
-        what is in force and what is proposed. So a host that has
-        confirmed never uses a right that others may already have lost.
+        While a restriction is proposed, hosts enforce the intersection
+        of the configuration in force and the proposed one. A host that
+        has confirmed the proposal therefore never uses a right that
+        other hosts may already have lost.
         """
         if self.proposal is None:
             return self.configuration
@@ -98,32 +101,34 @@
 
 
 def encode_accepted(accepted):
-    """Return the bytes to store or send for *accepted*."""
+    """Serialize an `Accepted` for storage or transmission."""
     return zlib.compress(msgspec.json.encode(accepted))
 
 
 def decode_accepted(data):
-    """Return the `Accepted` that *data* stands for.
+    """Deserialize an `Accepted`.
 
     Raises:
-        ProtocolError: The bytes are no accepted configuration.
+        ProtocolError: *data* is not a valid accepted configuration.
     """
     try:
         return msgspec.json.decode(zlib.decompress(data), type=Accepted)
     except (zlib.error, msgspec.DecodeError) as error:
-        raise ProtocolError(f"no accepted configuration: {error}") from None
+        raise ProtocolError(
+            f"invalid accepted configuration: {error}"
+        ) from None
 
 
 class GenerationKeeper:
-    """Hold the newest accepted configuration that a host has seen.
+    """Hold the newest accepted configuration that a host has received.
 
-    The key-value service may answer from the past, and peers may be
-    behind. A host that took whatever came last would bring a withdrawn
-    right back. The keeper takes a value only if its generation is
-    greater than the one it holds.
+    The key-value service may return stale values, and other hosts may
+    have an older generation. A host that applied the value received last
+    could restore a withdrawn right. The keeper therefore applies a value
+    only if its generation is greater than the current one.
 
     Args:
-        applied: Called with each new `Accepted`.
+        applied: Called with each `Accepted` that is applied.
     """
 
     def __init__(self, on_applied=NOTHING):
@@ -134,14 +139,14 @@
 
     @property
     def generation(self):
-        """Generation that is in force here; 0 for none."""
+        """Generation in force on this host; 0 for none."""
         return self.accepted.generation
 
     def offer(self, accepted):
-        """Take over *accepted* if it is newer.
+        """Apply *accepted* if it is newer.
 
         Returns:
-            Whether it was newer.
+            Whether *accepted* was newer and has been applied.
         """
         before = self.generation
         if accepted.generation <= before:
@@ -153,14 +158,17 @@
             for name, workspace in self.enforced.workspaces.items()
             for digest in workspace.keys.values()
         }
-        ensure(self.generation > before, "the generation went back")
+        ensure(
+            self.generation > before,
+            "the generation of the configuration decreased",
+        )
         if self.on_applied is not NOTHING:
             self.on_applied(accepted)
         return True
 
 
 def intersect_configurations(one, other):
-    """Return *one* without any right that *other* does not give."""
+    """Return *one* restricted to the rights that *other* also grants."""
     return replace(
         one,
         workspaces={
@@ -174,7 +182,7 @@
 
 
 def intersect_workspaces(one, other):
-    """Return the rights that both of two workspaces' versions give."""
+    """Return the rights that both versions of a workspace grant."""
     keys = {
         name: digest
         for name, digest in one.keys.items()
@@ -201,7 +209,7 @@
 
 
 def intersect_offers(one, other):
-    """Return the offers that are in both mappings, at their strictest."""
+    """Return the offers in both mappings, with the stricter values."""
     return {
         name: Offer(
             regions=intersect_regions(offer.regions, other[name].regions),
@@ -238,15 +246,15 @@
 
 
 def regions_losing_rights(old, new):
-    """Return the regions whose hosts lose a right from *old* to *new*.
+    """Return the regions whose hosts lose a right by a change.
 
     Args:
         old: The `Configuration` in force.
-        new: The one that would follow.
+        new: The `Configuration` after the change.
 
     Returns:
-        Set of region names. A host elsewhere may act on the old
-        configuration without harm, since no right of its own is lost.
+        Set of region names. Hosts in other regions may safely enforce
+        the old configuration, since none of their rights are withdrawn.
     """
     all_regions = frozenset(old.regions) | frozenset(new.regions)
     allowed = intersect_configurations(old, new)
@@ -262,7 +270,7 @@
 
 
 def regions_with_reduced_rights(before, after, all_regions):
-    """Return the regions in which *after* gives less than *before*."""
+    """Return the regions in which *after* grants less than *before*."""
     regions_before = getattr(before, "residency", None)
     if regions_before is None:
         regions_before = getattr(before, "regions", None)
@@ -279,7 +287,7 @@
 
 
 def is_reduced(before, after):
-    """Whether a right that is not tied to a region was taken."""
+    """Return whether a right that applies in all regions was withdrawn."""
     if before.repeatable and not after.repeatable:
         return True
     if getattr(before, "keys", None) != getattr(after, "keys", None):
--- a/src/hyssopspring/core/budgets.py
+++ b/src/hyssopspring/core/budgets.py
@@ -1,20 +1,24 @@
-"""Budgets that keep retries a small share of the traffic."""
+"""Retry budgets, which bound the ratio of retries to first attempts."""
 
 RETRY_RATIO = 0.2
+"""Retries allowed for each first attempt, on average."""
+
 MAX_RETRY_BALANCE = 10.0
+"""Upper bound of the retries that can be accumulated."""
 
 
 class RetryBudget:
-    """Allow retries only as a share of recent first attempts.
+    """Allow retries only in proportion to recent first attempts.
 
-    This guards against retry storms: when most attempts fail, each layer
-    that retries multiplies the load and the servers never recover. First
-    attempts earn a fraction of a retry, so that retries stay below that
-    fraction of the traffic whatever the settings of single requests say.
+    The budget prevents retry storms: when most attempts fail, each layer
+    that retries multiplies the load, and the servers do not recover. Each
+    first attempt deposits a fraction of a retry, so retries stay below
+    that fraction of the traffic, independent of the settings of
+    individual requests.
 
     Args:
-        share: Retries earned by one first attempt.
-        reserve: Most retries that can be saved up.
+        share: Retries deposited by one first attempt.
+        reserve: Maximum number of retries that can be accumulated.
     """
 
     def __init__(self, *, ratio=RETRY_RATIO, max_balance=MAX_RETRY_BALANCE):
@@ -23,11 +27,15 @@
         self.balance = max_balance
 
     def deposit(self):
-        """Count one first attempt."""
+        """Deposit the fraction of a retry that a first attempt earns."""
         self.balance = min(self.max_balance, self.balance + self.ratio)
 
     def try_withdraw(self):
-        """Take one retry and return whether there was one to take."""
+        """Withdraw one retry if the balance allows it.
+
+        Returns:
+            Whether the retry is allowed.
+        """
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/src/hyssopspring/core/choice.py
+++ b/src/hyssopspring/core/choice.py
@@ -1,4 +1,4 @@
-"""Policies that choose a backend server within a data centre."""
+"""Policies that select a backend server within a data centre."""
 
 from .exceptions import UnknownPolicyError
 from .hashing import hash_text
@@ -6,10 +6,11 @@
 POLICIES = {}
 DEFAULT_POLICY = "affinity"
 AFFINITY_SERVERS = 2
+"""Servers that are preferred for each prompt prefix."""
 
 
 def register_policy(name):
-    """Register a policy under *name*.
+    """Register a load-balancing policy under *name*.
 
     A policy takes the request, a non-empty list of servers, the time in
     seconds and a random number generator, and returns one server.
@@ -23,7 +24,7 @@
 
 
 def find_policy(name):
-    """Return the policy called *name*.
+    """Return the policy that is registered under *name*.
 
     Raises:
         UnknownPolicyError: No such policy is registered.
@@ -36,33 +37,34 @@
 
 @register_policy("round_robin")
 def round_robin(request, servers, now, rng):
-    """Take the servers in turn, by the number of the request."""
+    """Select a server by the hash of the request identifier."""
     request_hash = hash_text(request.id)
     return servers[request_hash % len(servers)]
 
 
 @register_policy("least_in_flight")
 def least_in_flight(request, servers, now, rng):
-    """Take the server with the fewest own requests."""
+    """Select the server with the fewest requests in flight from this host."""
     return min(servers, key=lambda server: server.in_flight)
 
 
 @register_policy("two_choices")
 def two_choices(request, servers, now, rng):
-    """Take the less loaded of two servers drawn at random."""
+    """Select the less loaded of two servers drawn at random."""
     drawn = [rng.choice(servers), rng.choice(servers)]
     return min(drawn, key=lambda server: relative_load(server, now))
 
 
 @register_policy("affinity")
 def affinity(request, servers, now, rng):
-    """Prefer the servers that likely hold the prompt's start.
-
-    Rendezvous hashing over the prompt's start names the same few servers
-    on every host without any message. One of them that has no free slot
-    is passed over: waiting there costs more than reading the prompt
-    elsewhere. Random choices spread what is passed over, which keeps
-    hosts with the same old reports from all picking the same server.
+    """Prefer the servers that are likely to have the prompt prefix cached.
+
+    Rendezvous hashing of the prompt prefix selects the same few servers
+    on every host without communication. A preferred server without a free
+    slot is skipped, since queueing there costs more than the prefill on
+    another server. The other requests are distributed by `two_choices`;
+    the random draw prevents hosts with the same outdated load reports from
+    all selecting the same server.
     """
     for server in rank_servers(request.prefix, servers)[:AFFINITY_SERVERS]:
         if relative_load(server, now) <= 1.0:
@@ -80,5 +82,5 @@
 
 
 def relative_load(server, now):
-    """Return the share of its slots that one more request would fill."""
+    """Return the slot utilization of *server* with one more request."""
     return (server.load(now) + 1) / server.slots
--- a/src/hyssopspring/core/claims.py
+++ b/src/hyssopspring/core/claims.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys: a log, and what follows from it.
+"""Claims of idempotency keys, stored in a replicated log.
 
 A request that must not be repeated runs only after its key is claimed in
-a log that the key-value service keeps. Safety rests on compare-and-swap
-alone: no lease, no clock and no liveness of a host is part of it.
+a log in the key-value service. Safety depends on compare-and-swap alone,
+not on leases, clocks or the liveness of hosts.
 """
 
 import enum
@@ -15,13 +15,20 @@
 from .sentinels import NOTHING
 
 SHARD_COUNT = 32
+"""Shards of the log; the digest of a key determines its shard."""
+
 DIGEST_SIZE = 16
+"""Bytes of the digest of a key."""
+
 MAX_SEGMENT_RECORDS = 400
+"""Number of records at which a segment is full."""
+
 RETENTION_SECONDS = 3 * 3600.0
+"""Time for which closed segments are kept."""
 
 
 class ClaimState(enum.IntEnum):
-    """What a record says of its key."""
+    """State that a record sets for its key."""
 
     CLAIMED = 0
     RELEASED = 1
@@ -33,11 +40,11 @@
     """One record of the log.
 
     Attributes:
-        digest: Digest of workspace and key.
-        nonce: Names the claimant; each request has its own.
-        mark: What is said.
-        until: Wall-clock second after which a claim without an outcome
-            counts as unknown.
+        digest: Digest of the workspace and the key.
+        nonce: Identifier of the claimant, unique for each request.
+        state: New state of the key.
+        expires_at: Wall-clock second after which the outcome of a claim
+            that has not been concluded counts as unknown.
     """
 
     digest: bytes
@@ -47,13 +54,13 @@
 
 
 class Segment(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a shard's log.
+    """One segment of the log of a shard.
 
     Attributes:
-        number: Number of the segment.
-        first: Number of the oldest segment that is kept.
-        sealed_at: Wall-clock second at which it was closed, or 0.
-        records: The `Record` list, oldest first.
+        number: Sequence number of the segment.
+        first: Sequence number of the oldest retained segment.
+        sealed_at: Wall-clock second at which it was closed; 0 while open.
+        records: List of `Record`, oldest first.
     """
 
     number: int = 0
@@ -63,7 +70,7 @@
 
 
 class Verdict(enum.Enum):
-    """What a claimant is told."""
+    """Result of a claim, as returned to the claimant."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in progress"
@@ -74,12 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Who holds a key.
+    """The claim that holds a key.
 
     Attributes:
-        nonce: The claimant.
-        mark: `ClaimState.CLAIMED`, `ClaimState.DONE` or `ClaimState.UNKNOWN`.
-        until: Second after which a mere claim counts as unknown.
+        nonce: Identifier of the claimant.
+        state: `ClaimState.CLAIMED`, `ClaimState.DONE` or
+            `ClaimState.UNKNOWN`.
+        expires_at: Wall-clock second after which the outcome of a claim
+            that has not been concluded counts as unknown.
     """
 
     nonce: bytes
@@ -89,14 +98,15 @@
 
 @dataclass(slots=True)
 class ClaimIndex:
-    """State of all keys of a shard, folded from its log.
+    """State of all keys of a shard, computed by replaying its log.
 
     Attributes:
         holdings: `Claim` by digest.
-        number: Segment up to which the log is folded.
-        count: Records of that segment that are folded.
-        revision: Revision of the open segment that was folded last.
-        sealed: Second at which each kept segment was closed.
+        number: Number of the segment that was applied last.
+        count: Number of records of that segment that are applied.
+        revision: Revision of the open segment when it was applied last.
+        sealed: Wall-clock second at which each retained segment was
+            closed, by segment number.
     """
 
     claims: dict[bytes, Claim] = field(default_factory=dict)
@@ -108,8 +118,9 @@
     def apply(self, record):
         """Apply one record.
 
-        The first claim of a free key holds it. A record of another
-        claimant changes nothing, wherever it stands in the log.
+        The first claim of a free key holds the key. Records of other
+        claimants have no effect, regardless of their position in the
+        log.
         """
         claim = self.claims.get(record.digest)
         if record.state is ClaimState.CLAIMED:
@@ -128,19 +139,21 @@
         self.claims[record.digest] = replace(claim, state=record.state)
 
     def apply_segment(self, segment):
-        """Apply what is new in *segment*.
+        """Apply the new records of *segment*.
 
-        Segments only grow, so the records folded before are a prefix.
+        Segments are append-only, so the records applied before are a
+        prefix of the segment.
         """
         if segment.number != self.number:
             ensure(
                 self.number < 0 or segment.number == self.number + 1,
-                "a segment of the claim log was left out",
+                "a segment of the claim log was skipped",
             )
             self.number = segment.number
             self.count = 0
         ensure(
-            len(segment.records) >= self.count, "a claim log segment shrank"
+            len(segment.records) >= self.count,
+            "a segment of the claim log lost records",
         )
         for record in segment.records[self.count :]:
             self.apply(record)
@@ -149,12 +162,13 @@
             self.sealed[segment.number] = segment.sealed_at
 
     def verdict(self, digest, nonce, wall):
-        """Return the `Verdict` for a claimant, or `NOTHING` if free.
+        """Return the `Verdict` for a claimant, or `NOTHING` for a free key.
 
         Args:
             digest: Digest of the key.
-            nonce: The claimant.
-            wall: Wall clock in seconds; only the wording depends on it.
+            nonce: Identifier of the claimant.
+            wall: Wall-clock time in seconds. It only determines which
+                verdict a rejected claimant gets.
         """
         claim = self.claims.get(digest)
         if claim is None:
@@ -168,11 +182,12 @@
         return Verdict.IN_PROGRESS
 
     def is_redundant(self, record):
-        """Whether *record* need not be written.
+        """Return whether *record* need not be written.
 
-        A release is written even if the key is free: its claim may still
-        be under way in a write whose answer was lost. Once the release
-        stands in the log, that write fails by its revision.
+        A release is written even if the key is free, because the claim
+        may be in a write that is still in progress and whose response
+        was lost. Once the release is in the log, that write fails on its
+        revision check.
         """
         claim = self.claims.get(record.digest)
         if record.state is ClaimState.CLAIMED:
@@ -184,7 +199,7 @@
         return claim.state is not ClaimState.CLAIMED
 
     def drop_expired(self, before):
-        """Drop keys whose claim ended before a wall-clock second."""
+        """Remove the keys whose claims expired before a wall-clock second."""
         self.claims = {
             digest: claim
             for digest, claim in self.claims.items()
@@ -193,39 +208,40 @@
 
 
 def key_digest(workspace, key):
-    """Return the digest of a workspace's key."""
+    """Return the digest of an idempotency key of a workspace."""
     digest = hashlib.blake2b(digest_size=DIGEST_SIZE)
     digest.update(workspace.encode() + b"\0" + key.encode())
     return digest.digest()
 
 
 def shard_of(digest):
-    """Return the number of the shard that holds *digest*.
+    """Return the number of the shard that stores *digest*.
 
-    It depends on the key alone. Were it to follow the configuration, a
-    change of it would lead a repeated key to another log, in which the
-    first run does not stand.
+    The shard depends on the key alone. If it depended on the
+    configuration, a configuration change would route a repeated key to
+    another log that does not contain the first run.
     """
     return int.from_bytes(digest[:4], "big") % SHARD_COUNT
 
 
 def is_full(segment):
-    """Whether a segment takes no more records."""
+    """Return whether a segment has reached its maximum size."""
     return len(segment.records) >= MAX_SEGMENT_RECORDS
 
 
 def seal_segment(segment, wall):
-    """Return *segment* as it is kept once it is full."""
+    """Return *segment* marked as closed at the time *wall*."""
     return msgspec.structs.replace(segment, sealed_at=int(wall))
 
 
 def next_segment(segment, sealed, wall, retention=RETENTION_SECONDS):
-    """Return the empty segment after *segment*.
+    """Return the empty segment that follows *segment*.
 
     Args:
-        segment: The full one.
-        sealed: Second at which each kept segment was closed.
-        wall: Wall clock in seconds.
+        segment: The full segment.
+        sealed: Wall-clock second at which each retained segment was
+            closed, by segment number.
+        wall: Wall-clock time in seconds.
         retention: Seconds for which closed segments are kept.
     """
     first = segment.first
@@ -237,7 +253,7 @@
 
 
 def append_records(segment, records):
-    """Return *segment* with *records* after those it has."""
+    """Return a copy of *segment* with *records* appended."""
     return msgspec.structs.replace(
         segment, records=[*segment.records, *records]
     )
@@ -247,17 +263,17 @@
 
 
 def decode_segment(data):
-    """Return the `Segment` that *data* stands for.
+    """Deserialize a `Segment`.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: *data* is not a valid segment.
     """
     try:
         return SEGMENT_DECODER.decode(data)
     except msgspec.DecodeError as error:
-        raise ProtocolError(f"no claim segment: {error}") from None
+        raise ProtocolError(f"invalid claim log segment: {error}") from None
 
 
 def encode_segment(segment):
-    """Return the bytes that are stored for *segment*."""
+    """Serialize *segment* for storage."""
     return msgspec.msgpack.encode(segment)
--- a/src/hyssopspring/core/configuration.py
+++ b/src/hyssopspring/core/configuration.py
@@ -1,4 +1,4 @@
-"""The merged configuration as hosts hold it in memory."""
+"""In-memory model of the merged configuration."""
 
 from dataclasses import dataclass, field
 
@@ -6,16 +6,20 @@
 from .sentinels import NOTHING
 
 MAX_ATTEMPTS = 3
+"""Default for the maximum number of attempts of a request."""
+
 DEFAULT_DEADLINE_MS = 60_000
+"""Default deadline of requests."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """How often a workspace may ask, over all hosts and regions.
+    """Request limits of a workspace, over all hosts and regions.
 
     Attributes:
-        requests_per_second: Sustained rate, or None for no limit.
-        concurrent: Requests in progress at once, or None.
+        requests_per_second: Maximum sustained rate, or None for no limit.
+        concurrent: Maximum number of concurrent requests, or None for no
+            limit.
     """
 
     requests_per_second: float | None = None
@@ -24,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Weights:
-    """What a workspace minds, each from 0 to 1.
+    """Weights of placement criteria of a workspace, each from 0 to 1.
 
     Attributes:
         tail: Weight of the time to the first token.
         cost: Weight of accelerator time.
-        away: Weight of being served away from home.
+        away: Weight of being served outside the home region.
     """
 
     tail: float = 1.0
@@ -39,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workspace:
-    """Rights and wishes of one workspace."""
+    """Rights and preferences of one workspace."""
 
     home: str
     residency: frozenset[str] | None = None
@@ -53,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Offer:
-    """A model or a service that workspaces may ask for.
+    """A model or a service that workspaces may request.
 
     Attributes:
-        regions: Regions with servers of it; None for every region.
-        repeatable: Whether its calls may run twice.
-        deadline_ms: Longest deadline that a caller gets.
-        attempts: Most attempts of one request.
-        fallback: Models to try instead, in order.
+        regions: Regions that serve it; None for all regions.
+        repeatable: Whether requests for it may run more than once.
+        deadline_ms: Maximum deadline of a request.
+        attempts: Maximum number of attempts of a request.
+        fallback: Models to try as fallbacks, in order.
     """
 
     regions: frozenset[str] | None = None
@@ -72,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Region:
-    """A region and how far the others are.
+    """A region and its distance to the others.
 
     Attributes:
         round_trip_ms: Round trip to each other region, in milliseconds.
@@ -83,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """Everything that the operators' files say, merged."""
+    """The merged content of all configuration files."""
 
     generation: int = 0
     regions: dict[str, Region] = field(default_factory=dict)
@@ -92,7 +96,7 @@
     services: dict[str, Offer] = field(default_factory=dict)
 
     def offer(self, target):
-        """Return the `Offer` of *target*, or `NOTHING`."""
+        """Return the `Offer` for *target*, or `NOTHING` if there is none."""
         offers = self.services
         if target.kind is TargetKind.MODEL:
             offers = self.models
@@ -106,8 +110,8 @@
             target: Model or service.
 
         Returns:
-            Intersection of what the workspace and the target permit;
-            empty if one of them is not known.
+            Intersection of the regions that the workspace and the target
+            permit. It is empty if one of them is unknown.
         """
         offer = self.offer(target)
         rights = self.workspaces.get(workspace, NOTHING)
--- a/src/hyssopspring/core/events.py
+++ b/src/hyssopspring/core/events.py
@@ -1,35 +1,36 @@
-"""Numbered events, and the time line that they make up."""
+"""Numbered events and the event log that records them."""
 
 import enum
 from collections import deque
 from dataclasses import dataclass, field
 
 MAX_EVENTS = 2_000
+"""Number of events that a process keeps in memory."""
 
 
 class EventKind(enum.Enum):
-    """The catalogue: number, and meaning for operators."""
+    """Catalogue of events: number, and description for operators."""
 
     STARTED = (100, "process started")
-    STOPPING = (101, "planned stop began")
-    STOPPED = (102, "planned stop ended, nothing was cut")
-    LOOP_STALL = (103, "event loop stood still")
+    STOPPING = (101, "planned shutdown began")
+    STOPPED = (102, "planned shutdown completed, no request was aborted")
+    LOOP_STALL = (103, "event loop was blocked")
     RELOADED = (107, "settings file changed")
-    UNEXPECTED = (106, "an error that nobody expected; a fault of ours")
-    CONFINED = (104, "host serves only workspaces at home in its region")
+    UNEXPECTED = (106, "unexpected error, a defect in hyssopspring")
+    CONFINED = (104, "host serves only workspaces whose home is its region")
     UNCONFINED = (105, "host trusts its configuration again")
     REQUEST = (200, "request admitted")
     ATTEMPT = (201, "attempt sent to a backend server")
     FORWARD = (202, "attempt forwarded to another data centre")
-    ATTEMPT_ENDED = (203, "attempt ended without an answer")
-    ANSWERED = (204, "whole answer delivered")
-    NOT_RUN = (205, "caller told that its request was not run")
-    UNKNOWN = (206, "caller told that the outcome is not known")
+    ATTEMPT_ENDED = (203, "attempt ended without a response")
+    ANSWERED = (204, "complete response delivered")
+    NOT_RUN = (205, "caller informed that its request was not run")
+    UNKNOWN = (206, "caller informed that the outcome is unknown")
     FORWARD_REFUSED = (207, "forwarded request refused")
     RESUMED = (208, "stream resumed at the same server")
     PLACED = (209, "request placed at a backend server")
     SENT_AWAY = (210, "request sent to another region")
-    RELAYED = (211, "request of another region's host carried out")
+    RELAYED = (211, "request relayed for a host of another region")
     CONFIG_APPLIED = (300, "configuration is in force on this host")
     CONFIG_ACCEPTED = (301, "configuration accepted")
     CONFIG_REFUSED = (302, "configuration file refused")
@@ -41,55 +42,58 @@
     SERVER_LEAVING = (402, "backend server is leaving")
     SERVER_PAUSED = (403, "backend server failed and is tried last")
     PEER_REFUSED = (404, "message with a bad signature dropped")
-    PEER_SEEN = (405, "another host is heard")
-    PEER_GONE = (406, "another host is not heard any more, or leaves")
-    SERVER_COLD = (407, "backend server is cold and gets little")
-    EVACUATED = (408, "data centres that get no requests have changed")
-    SERVER_UNREADABLE = (410, "entry of a backend server is none")
-    PEER_UNREAD = (409, "another host's copy of the store was not read")
-    UNANSWERED = (411, "questions of other hosts left out, as too old")
-    SERVER_ENDED = (412, "backend server ended while a request was there")
-    REQUEST_BLOCKED = (413, "request that ends servers is sent to none")
-    CRASH_UNSAVED = (414, "ends under a request not written to the store yet")
-    CRASH_UNREADABLE = (415, "ends under a request in the store unreadable")
-    SERVER_LIMITED = (416, "backend server names a limit, or none any more")
-    SERVER_RESTING = (418, "backend server asks this host for rest")
-    NOTICE_IGNORED = (417, "statement of a backend server is not usable")
-    PLATFORM_DOWN = (500, "platform does not answer")
-    PLATFORM_BACK = (501, "platform answers again")
+    PEER_SEEN = (405, "messages of another host arrive")
+    PEER_GONE = (406, "another host is silent or is shutting down")
+    SERVER_COLD = (407, "backend server is cold and gets few requests")
+    EVACUATED = (408, "set of evacuated data centres changed")
+    SERVER_UNREADABLE = (410, "host list entry of a backend server is invalid")
+    PEER_UNREAD = (409, "snapshot of the store from another host not readable")
+    UNANSWERED = (411, "expired queries of other hosts discarded")
+    SERVER_ENDED = (412, "backend server crashed while it ran a request")
+    REQUEST_BLOCKED = (413, "request that crashes servers is blocked")
+    CRASH_UNSAVED = (414, "crash records not written to the store yet")
+    CRASH_UNREADABLE = (415, "crash records in the store are not readable")
+    SERVER_LIMITED = (416, "backend server announced or withdrew a limit")
+    SERVER_RESTING = (418, "backend server requested a retry-after pause")
+    NOTICE_IGNORED = (417, "invalid notice of a backend server ignored")
+    PLATFORM_DOWN = (500, "platform does not respond")
+    PLATFORM_BACK = (501, "platform responds again")
     WATCHING = (502, "host watches the store for its region")
-    RESTING = (503, "host relies on others of its region for changes")
-    WATCH_RENEWED = (506, "watch that may be dead is begun anew")
-    VIEW_LOST = (504, "configuration not confirmed, keys are not believed")
+    RESTING = (503, "host receives changes from other hosts of its region")
+    WATCH_RENEWED = (506, "watch that may be dead was restarted")
+    VIEW_LOST = (504, "configuration not confirmed, keys are not accepted")
     VIEW_BACK = (505, "configuration is confirmed again")
-    CLAIM_COMMITTED = (600, "claims of keys recorded")
+    CLAIM_COMMITTED = (600, "claims of keys committed")
     CLAIM_CONFLICT = (601, "claim lost to another claimant")
-    CLAIM_UNAVAILABLE = (602, "claims cannot be recorded now")
+    CLAIM_UNAVAILABLE = (602, "claims cannot be committed now")
     SHARES_CHANGED = (700, "shares of limits written")
 
     @property
     def number(self):
-        """The number by which operators look it up."""
+        """Number of the event in the catalogue."""
         return self.value[0]
 
     @property
     def meaning(self):
-        """One line for operators."""
+        """One-line description for operators."""
         return self.value[1]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Event:
-    """Something that happened in one process.
+    """An event of one process.
 
     Attributes:
-        millis: Hybrid logical time, wall-clock part in milliseconds.
-        counter: Hybrid logical time, part that orders equal times.
-        host: Host on which it happened.
+        millis: Wall-clock part of the hybrid logical time, in
+            milliseconds.
+        counter: Logical part of the hybrid logical time, which orders
+            events with equal *millis*.
+        host: Host on which the event occurred.
         number: Number in the catalogue.
         name: Name in the catalogue.
-        request: Request that it belongs to, or an empty string.
-        details: What else to know, as text by name.
+        request: Identifier of the request it belongs to, or an empty
+            string.
+        details: Further fields, as text by name.
     """
 
     millis: int
@@ -102,14 +106,15 @@
 
 
 class HybridClock:
-    """Order events over hosts whose wall clocks differ.
+    """Hybrid logical clock, which orders events across hosts.
 
-    A message carries its sender's time; who receives it moves on past
-    that time. So an effect never stands before its cause on the time
-    line, even when the receiver's wall clock is behind.
+    A message carries the time of its sender, and the receiver advances
+    its clock past that time. An effect is therefore never ordered before
+    its cause in the event log, even if the wall clock of the receiver is
+    behind.
 
     Args:
-        seconds: Callable that returns the wall clock in seconds.
+        seconds: Callable that returns the wall-clock time in seconds.
     """
 
     def __init__(self, seconds):
@@ -118,7 +123,7 @@
         self.counter = 0
 
     def tick(self):
-        """Return the time of a local event, later than any before."""
+        """Return the time of a local event, later than all earlier ones."""
         wall = int(self.seconds() * 1000)
         if wall > self.millis:
             self.millis, self.counter = wall, 0
@@ -127,13 +132,13 @@
         return self.millis, self.counter
 
     def advance_past(self, millis, counter):
-        """Move past the time that a message carried."""
+        """Advance the clock past the timestamp of a received message."""
         if (millis, counter) > (self.millis, self.counter):
             self.millis, self.counter = millis, counter
 
 
 class Timeline:
-    """Keep the newest events of one process.
+    """In-memory log of the most recent events of one process.
 
     Args:
         host: Name of the host.
@@ -148,7 +153,7 @@
         self.recent_events = deque(maxlen=MAX_EVENTS)
 
     def note(self, kind, *, request="", **details):
-        """Record an event of *kind* now."""
+        """Record an event of *kind* with the current time."""
         millis, counter = self.clock.tick()
         event = Event(
             millis=millis,
@@ -165,7 +170,7 @@
         return event
 
     def select(self, *, request="", after=(0, 0)):
-        """Return the kept events, of one request if it is named."""
+        """Return the recent events, optionally of one request only."""
         return [
             event
             for event in self.recent_events
--- a/src/hyssopspring/core/exceptions.py
+++ b/src/hyssopspring/core/exceptions.py
@@ -1,43 +1,46 @@
-"""Failures of the program, each with a type of its own."""
+"""Exceptions that the package raises."""
 
 EXIT_BAD_SETTINGS = 2
-"""Exit status of a process whose settings are wrong."""
+"""Exit status of a process whose settings are invalid."""
 
 
 class HyssopError(Exception):
-    """Base of every error that the project raises."""
+    """Base class of all exceptions of the package."""
 
 
 class UnknownPolicyError(HyssopError):
-    """No policy of this name is registered."""
+    """No policy is registered under the given name."""
 
 
 class InvariantError(HyssopError):
-    """The program found itself in a state that must never be."""
+    """An internal invariant is violated."""
 
 
 class SettingsError(HyssopError):
-    """A settings file is wrong; the text names file, key and need."""
+    """A settings file is invalid.
+
+    The message contains the file, the key and the requirement.
+    """
 
 
 class ProtocolError(HyssopError):
-    """The other side sent what its protocol does not allow."""
+    """The other side violated the protocol."""
 
 
 class NoAnswerError(HyssopError):
-    """The other side could not be reached, or did not answer in time."""
+    """The other side is unreachable or did not respond in time."""
 
 
 class KeyValueError(HyssopError):
-    """The key-value service did not answer, or not in time."""
+    """The key-value service did not respond in time."""
 
 
 class PlatformError(HyssopError):
-    """The host list or the directory did not answer."""
+    """The host list or the directory did not respond."""
 
 
 def ensure(condition, text):
-    """Assert an invariant also when Python runs optimised.
+    """Check an invariant, even if Python runs with optimization.
 
     Raises:
         InvariantError: *condition* is false.
--- a/src/hyssopspring/core/hashing.py
+++ b/src/hyssopspring/core/hashing.py
@@ -1,10 +1,11 @@
-"""Hashes that are the same on every host."""
+"""Hash functions with identical results on all hosts."""
 
 import hashlib
 
 import xxhash
 
 SEED_MASK = 0xFFFFFFFFFFFFFFFF
+"""Mask that reduces a seed to 64 bits."""
 
 
 def hash_text(text, seed=0):
@@ -13,7 +14,7 @@
 
 
 def short_id(text):
-    """Return a 32-bit hash of *text*, to name it in small messages."""
+    """Return a 32-bit hash of *text*, as a short identifier in messages."""
     return hash_text(text) & 0xFFFFFFFF
 
 
@@ -23,20 +24,21 @@
 
 
 def credential_digest(key):
-    """Return the digest that stands for a caller's key, given as bytes.
+    """Return the digest of an API key, which is given as bytes.
 
-    Only the digest is kept, compared and told to other hosts. A lookup by
-    it tells nothing about a key by the time that it takes: callers cannot
-    choose the digest of what they send.
+    Only the digest is stored, compared and sent to other hosts. The time
+    of a lookup by digest reveals nothing about valid keys, since callers
+    cannot choose the digest of the key that they send.
     """
     return hashlib.sha256(key).hexdigest()
 
 
 def digest_of(parts):
-    """Return 32 hexadecimal digits that stand for a series of bytes.
+    """Return the digest of a sequence of bytes as 32 hexadecimal digits.
 
-    Unlike the other hashes it cannot be met on purpose: whoever found
-    another request with the same digest could have it refused.
+    Unlike the other hashes, it is cryptographic and resists deliberate
+    collisions: an attacker who found a second request with the same
+    digest could have that request refused.
     """
     digest = hashlib.blake2b(digest_size=16)
     for part in parts:
--- a/src/hyssopspring/core/health.py
+++ b/src/hyssopspring/core/health.py
@@ -1,25 +1,25 @@
-"""Whether a service that others need is known to be down."""
+"""Availability of a service that other components depend on."""
 
 
 class Health:
-    """Remember that a service does not answer, until it does.
+    """Circuit breaker for a service that does not respond.
 
-    Callers that need the service are refused at once while it is down,
-    instead of each waiting for its own timeout. Only a periodic probe,
-    for which no caller waits, finds out that it is back.
+    While the service is down, callers that need it are refused
+    immediately instead of each waiting for a timeout. Only a periodic
+    probe, which no caller waits for, detects that it is available again.
     """
 
     def __init__(self):
         self.down = False
 
     def record_failure(self):
-        """Note a call without an answer; return whether that is news."""
+        """Record a failed call; return whether the state changed."""
         changed = not self.down
         self.down = True
         return changed
 
     def record_success(self):
-        """Note an answer; return whether that is news."""
+        """Record a successful call; return whether the state changed."""
         changed = self.down
         self.down = False
         return changed
--- a/src/hyssopspring/core/membership.py
+++ b/src/hyssopspring/core/membership.py
@@ -1,14 +1,25 @@
-"""Which hosts of a data centre live, and who of them does what."""
+"""Liveness of the hosts of a data centre and assignment of their work."""
 
 from dataclasses import dataclass, field
 
 from .hashing import hash_text
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
+"""Interval between two heartbeats of a host."""
+
 HEARTBEAT_TIMEOUT_SECONDS = 3.0
+"""Time without a heartbeat after which a host counts as failed."""
+
 NEIGHBOUR_TIMEOUT_SECONDS = 1.5
+"""Maximum age of the last message of a neighbour for it to count as
+up-to-date evidence on the configuration."""
+
 WATCHER_COUNT = 2
+"""Hosts of each data centre that watch the platform."""
+
 MAX_REMOTE_SOURCES = 8
+"""Hosts of other data centres that are queried to verify the
+configuration."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -16,13 +27,13 @@
     """Another host of the system.
 
     Attributes:
-        host: Its name.
+        host: Name of the host.
         region: Its region.
         data_centre: Its data centre.
         address: Its address for callers.
         forward: Its address for forwarded requests.
         control: Its address for control messages.
-        leaving: Whether the host list says that it is about to go.
+        leaving: Whether the host list marks it as shutting down.
     """
 
     host: str
@@ -36,14 +47,15 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """What a host's own messages say.
+    """State of another host according to its own messages.
 
     Attributes:
-        incarnation: Incarnation of the newest message.
-        sequence: Number of the newest message.
-        heard_at: When it came, on the host's clock, in seconds.
-        generation: Configuration in force there.
-        leaving: Whether it said that it leaves.
+        incarnation: Incarnation of the sender of the newest message.
+        sequence: Sequence number of the newest message.
+        last_message_at: Time of its arrival on this host's clock, in
+            seconds.
+        generation: Generation of the configuration in force there.
+        leaving: Whether the host announced that it is shutting down.
     """
 
     incarnation: str = ""
@@ -55,7 +67,7 @@
 
 @dataclass(slots=True)
 class PeerTable:
-    """All other hosts, and the work that is shared among hosts.
+    """All other hosts, and the assignment of work that hosts share.
 
     Attributes:
         host: Name of this host.
@@ -70,7 +82,7 @@
     states: dict[str, PeerState] = field(default_factory=dict)
 
     def replace(self, entries):
-        """Take over the rows of the host list."""
+        """Replace the entries by those of the host list."""
         self.entries = {
             entry.host: entry for entry in entries if entry.host != self.host
         }
@@ -78,11 +90,11 @@
             del self.states[host]
 
     def apply_message(self, message, now):
-        """Note a message; return whether it is news.
+        """Apply a message; return whether it is newer than the last one.
 
-        Messages come late and twice. An older one of the same
-        incarnation would make a host look ready that has said since that
-        it leaves.
+        Messages may arrive out of order or twice. An older message of
+        the same incarnation would mark a host as ready that has
+        announced its shutdown since.
         """
         if message.host == self.host:
             return False
@@ -98,11 +110,11 @@
         return True
 
     def live_hosts(self, now):
-        """Return the names of the live hosts of the own data centre.
+        """Return the names of the live hosts of this data centre.
 
-        A host is live as long as its heartbeats come. One that was only
-        slow takes its work up again with its next heartbeat; meanwhile
-        work is done twice, which is harmless.
+        A host is live as long as its heartbeats arrive. A host that was
+        merely slow resumes its work with its next heartbeat. Until then
+        the work is done twice, which is harmless.
         """
         names = [
             host
@@ -113,29 +125,29 @@
         return [*names, self.host]
 
     def is_local(self, host):
-        """Whether *host* stands in the own data centre."""
+        """Return whether *host* is in this data centre."""
         entry = self.entries.get(host)
         return entry is not None and entry.data_centre == self.data_centre
 
     def rank(self, now):
-        """Return this host's place among the live hosts, from 0."""
+        """Return the rank of this host among the live hosts, from 0."""
         ordered = rank_hosts(self.data_centre, self.live_hosts(now))
         return ordered.index(self.host)
 
     def is_watcher(self, now):
-        """Whether this host watches the platform for its data centre."""
+        """Return whether this host watches the platform."""
         return self.rank(now) < WATCHER_COUNT
 
     def is_reporter(self, now):
-        """Whether this host speaks for its data centre."""
+        """Return whether this host reports for its data centre."""
         return self.rank(now) == 0
 
     def owns(self, name, now):
-        """Whether this host does the shared work called *name*."""
+        """Return whether this host does the shared work called *name*."""
         return rank_hosts(name, self.live_hosts(now))[0] == self.host
 
     def is_usable(self, host, now):
-        """Whether callers should be sent to *host*."""
+        """Return whether callers should be directed to *host*."""
         entry = self.entries[host]
         state = self.states.get(host)
         if entry.leaving:
@@ -150,21 +162,25 @@
         return not state.leaving
 
     def verification_sources(self):
-        """Return the hosts to ask when the own configuration is in doubt.
+        """Return the hosts to query to verify this host's configuration.
 
-        All neighbours, and a few hosts elsewhere, the same ones each
-        time; to ask all would multiply with the fleet after an outage.
+        These are all neighbours and a few hosts of other data centres,
+        the same ones each time. If each host queried all others after an
+        outage, the load would grow with the square of the fleet size.
         """
         local = [host for host in self.entries if self.is_local(host)]
         others = [host for host in self.entries if not self.is_local(host)]
         return local + rank_hosts(self.host, others)[:MAX_REMOTE_SOURCES]
 
     def neighbours_up_to_date(self, now, generation):
-        """Whether each neighbour was just heard, and none is ahead.
+        """Return whether all neighbours are recent and none is ahead.
+
+        Each neighbour must have sent a message recently, and none may
+        have a newer generation.
 
         Args:
             now: Time on the host's clock, in seconds.
-            generation: Generation in force on this host.
+            generation: Generation of the configuration in force on this host.
         """
         for host in self.entries:
             if not self.is_local(host):
@@ -182,8 +198,9 @@
     def control_addresses(self):
         """Return the addresses to connect to for control messages.
 
-        All hosts of the own data centre, and of each other one the two
-        that speak for it; more would cost connections and no news.
+        These are all hosts of this data centre, and the two reporting
+        hosts of each other data centre. Further connections would cost
+        resources without adding information.
         """
         by_centre = {}
         for entry in self.entries.values():
@@ -199,10 +216,10 @@
 
 
 def rank_hosts(name, hosts):
-    """Order *hosts* by rendezvous hashing for the work *name*.
+    """Rank *hosts* by rendezvous hashing for the work *name*.
 
-    All hosts come to the same order without a message, and a host that
-    goes moves only its own work.
+    All hosts compute the same order without communication, and the loss
+    of a host moves only the work of that host.
     """
     seed = hash_text(name)
     return sorted(
--- a/src/hyssopspring/core/outcomes.py
+++ b/src/hyssopspring/core/outcomes.py
@@ -1,13 +1,13 @@
-"""The three outcomes that an attempt and a request can end in."""
+"""Outcomes of attempts and requests."""
 
 import enum
 from dataclasses import dataclass
 
 
 class Reason(enum.StrEnum):
-    """Why an attempt or a request was not answered.
+    """Reason why an attempt or a request has no response.
 
-    The values are the error codes that callers read.
+    The values are the error codes that callers receive.
     """
 
     UNKNOWN_WORKSPACE = "unknown_workspace"
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer arrived.
+    """The complete response arrived.
 
     Attributes:
-        status: HTTP status of the answer.
+        status: HTTP status of the response.
     """
 
     status: int
@@ -60,8 +60,8 @@
     """No backend server ran the request.
 
     Attributes:
-        reason: Why it was not run.
-        retry_after: Seconds after which the caller may come back.
+        reason: Reason why it was not run.
+        retry_after: Seconds after which the caller may retry.
     """
 
     reason: Reason
@@ -70,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run, once or in part.
+    """The request may have run, completely or in part.
 
     Attributes:
-        reason: Why the answer is missing.
+        reason: Reason why the response is missing.
     """
 
     reason: Reason
@@ -83,12 +83,11 @@
 class Repeated:
     """Another request with the same key is running or has run.
 
-    It is none of the other three: nothing new was run, yet telling the
-    caller that its request was not run would have it start anew what was
-    already done.
+    This differs from the other three outcomes: nothing new was run, but
+    a `NotRun` would make the caller repeat work that is already done.
 
     Attributes:
-        reason: Whether the first one is in progress or has run.
+        reason: Whether the first request is in progress or has run.
     """
 
     reason: Reason
@@ -98,15 +97,15 @@
 
 
 def combine(outcomes):
-    """Return what a caller may be told after *outcomes*.
+    """Combine the outcomes of all attempts into that of the request.
 
     Args:
         outcomes: Outcome of each attempt, in order; not empty.
 
     Returns:
-        The answer if there was one; `NotRun` only if each attempt was
-        `NotRun`, since one attempt that may have run is enough for the
-        request to have run.
+        `Answered` if there was a response. `NotRun` only if each attempt
+        was `NotRun`, since the request may have run if any one attempt
+        may have run.
     """
     for outcome in outcomes:
         if isinstance(outcome, Answered):
--- a/src/hyssopspring/core/pacing.py
+++ b/src/hyssopspring/core/pacing.py
@@ -1,12 +1,12 @@
-"""Limits on how often a host does something."""
+"""Rate limiting of operations of a host."""
 
 
 class TokenBucket:
-    """Token bucket over a clock that is passed in.
+    """Token bucket; the current time is passed to each call.
 
     Args:
-        rate: Tokens a second.
-        burst: Most tokens that are saved up.
+        rate: Tokens that are added per second.
+        burst: Capacity of the bucket, in tokens.
     """
 
     def __init__(self, rate, burst):
@@ -16,13 +16,13 @@
         self.refilled_at = 0.0
 
     def refill(self, now):
-        """Add what has come in since the last call."""
+        """Add the tokens that accrued since the last call."""
         gained = max(0.0, now - self.refilled_at) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.refilled_at = max(self.refilled_at, now)
 
     def try_take(self, now):
-        """Take a token at *now*; return whether there was one."""
+        """Take a token at the time *now*; return whether one was available."""
         self.refill(now)
         if self.tokens < 1.0:
             return False
@@ -30,7 +30,7 @@
         return True
 
     def time_to_token(self, now):
-        """Return the seconds until there is a token."""
+        """Return the seconds until a token is available."""
         self.refill(now)
         if self.tokens >= 1.0:
             return 0.0
--- a/src/hyssopspring/core/placement.py
+++ b/src/hyssopspring/core/placement.py
@@ -1,4 +1,4 @@
-"""The choice among data centres: at home, or away and at what price."""
+"""Ranking of the data centres that may serve a request, by cost."""
 
 from dataclasses import dataclass, field, replace
 
@@ -7,37 +7,39 @@
 from .sentinels import NOTHING
 
 MAX_MISSED_SUMMARIES = 4
-"""Summaries that may be missing before the last one counts as old."""
+"""Missed summaries after which the last one counts as stale."""
 
 AWAY_PENALTY_SECONDS = 0.5
-"""Seconds that a workspace with full weight gives to stay at home."""
+"""Penalty for leaving the home region at full weight of `Weights.away`."""
 
 COLD_PREFILL_SECONDS = 0.3
-"""Seconds to read a prompt that is not in the cache, about."""
+"""Approximate prefill time of a prompt that is not cached."""
 
 HYSTERESIS_SECONDS = 0.1
-"""Seconds by which another region must be better."""
+"""Advantage that another region must have over the home region, which
+prevents requests from alternating between regions."""
 
 FULL_PENALTY_SECONDS = 5.0
-"""Seconds that count for a centre without a free slot."""
+"""Penalty for a data centre without a free slot."""
 
 STALE_PENALTY_SECONDS = 30.0
-"""Seconds that count for a centre that has fallen silent."""
+"""Penalty for a data centre whose summaries no longer arrive."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CentreSummary:
-    """What a data centre tells the others about itself.
+    """Load summary that a data centre broadcasts to the others.
 
     Attributes:
-        region: Its region.
-        data_centre: Its name.
+        region: Region of the data centre.
+        data_centre: Name of the data centre.
         gateways: Addresses for forwarded requests, as ``ip:port``.
-        targets: Slots, load and shortest wait in seconds by `Target`.
-        listeners: Hosts elsewhere that hear the summary and thus share
-            what is spare.
-        at: Time of arrival on the host's clock, in seconds.
-        every: Seconds between two summaries of the centre.
+        targets: Tuple of slots, load and shortest wait in seconds, by
+            `Target`.
+        listeners: Number of hosts elsewhere that receive the summary and
+            share the free slots.
+        at: Time of arrival on this host's clock, in seconds.
+        every: Interval between summaries of the data centre, in seconds.
     """
 
     region: str
@@ -56,8 +58,9 @@
     Attributes:
         region: Region of this host.
         summaries: `CentreSummary` by data centre.
-        sent: Requests sent there since the newest summary, whose load
-            already counts those that were sent before.
+        sent_since_summary: Number of requests forwarded since the newest
+            summary, by data centre. The load in the summary already
+            includes those that were forwarded before.
     """
 
     region: str
@@ -65,17 +68,18 @@
     sent_since_summary: dict[str, int] = field(default_factory=dict)
 
     def apply_summary(self, summary):
-        """Note a summary, unless a newer one is known."""
+        """Store a summary unless a newer one is stored."""
         known = self.summaries.get(summary.data_centre)
         if known is None or known.at <= summary.at:
             self.summaries[summary.data_centre] = summary
             self.sent_since_summary[summary.data_centre] = 0
 
     def apply_load(self, data_centre, target, load, now):
-        """Take over the load that rode on an answer from there.
+        """Apply the load that a response from *data_centre* contained.
 
-        Summaries grow rarer as the fleet grows. Answers bring fresh news
-        from just those centres that requests are sent to.
+        The interval between summaries grows with the fleet. Responses
+        provide current load of exactly those data centres that requests
+        are forwarded to.
         """
         known = self.summaries.get(data_centre)
         if known is not None:
@@ -83,17 +87,18 @@
             self.apply_summary(replace(known, targets=targets, at=now))
 
     def record_forward(self, data_centre):
-        """Count a request that is forwarded to *data_centre*."""
+        """Record that a request is forwarded to *data_centre*."""
         self.sent_since_summary[data_centre] = (
             self.sent_since_summary.get(data_centre, 0) + 1
         )
 
     def spare_slots(self, summary, target):
-        """Return the free slots there that this host may still use.
+        """Return the free remote slots that this host may still use.
 
-        All hosts that hear a summary see the same free slots. If each
-        took them all, a centre would get many times what it has room
-        for, so each takes its equal share, and one at least.
+        All hosts that receive a summary see the same free slots. If each
+        host used all of them, the data centre would get many times the
+        requests it has slots for. Each host therefore uses an equal
+        share, and at least one slot.
         """
         slots, load, _ = summary.targets[target]
         free = slots - load
@@ -105,11 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementOption:
-    """A data centre that could serve, with its score in seconds.
+    """A data centre that may serve a request, with its score.
 
     Attributes:
-        score: Weighted cost; lower is better.
-        summary: The other data centre, or `NOTHING` for the own.
+        score: Weighted cost in seconds; lower is better.
+        summary: `CentreSummary` of another data centre, or `NOTHING` for
+            that of this host.
     """
 
     score: float
@@ -117,19 +123,19 @@
 
 
 def rank_data_centres(request, target, table, centres, configuration, now):
-    """Order the data centres that may serve *target*, best first.
+    """Rank the data centres that may serve *target*, best first.
 
     Args:
         request: The `Request`.
-        target: Its target or a fallback of it.
-        table: `ServerTable` of the own data centre.
-        centres: `CentreTable` of the others.
+        target: Target of the request, or one of its fallbacks.
+        table: `ServerTable` of this data centre.
+        centres: `CentreTable` of the other data centres.
         configuration: The `Configuration` in force.
         now: Time on the host's clock, in seconds.
 
     Returns:
         List of `PlacementOption`. Centres outside the request's residency are
-        never in it.
+        never included.
     """
     options = []
     weights = workspace_weights(request, configuration)
@@ -157,8 +163,8 @@
 def permitted_regions(request, target, configuration):
     """Return the regions that may serve *target* for *request*.
 
-    A fallback may be offered in fewer regions than the target that was
-    asked for, so its own regions count as well.
+    A fallback may be offered in fewer regions than the requested target,
+    so the regions of the fallback apply as well.
     """
     return request.residency & configuration.permitted(
         request.workspace, target
@@ -168,7 +174,7 @@
 def score_remote(
     request, weights, target, summary, centres, configuration, now
 ):
-    """Return the `PlacementOption` of serving in another data centre."""
+    """Return the `PlacementOption` for another data centre."""
     distance = round_trip_seconds(
         configuration, centres.region, summary.region
     )
@@ -182,11 +188,13 @@
 
 
 def score_data_centre(request, weights, region, wait, distance):
-    """Weigh wait and distance, in seconds, against leaving home.
+    """Return the score of a data centre, in seconds.
 
-    Work at another region than home finds cold caches there and counts
-    as sent away. Batch work has time, so it leaves home only when there
-    is no server for it at all.
+    The score is the sum of the wait and the distance. Outside the home
+    region, penalties are added for the prefill with a cold cache, for
+    leaving the home region, and for hysteresis. Batch requests are not
+    urgent, so they leave the home region only if no server is available
+    there at all.
     """
     score = wait + distance
     if region == request.home:
@@ -205,7 +213,7 @@
 
 
 def round_trip_seconds(configuration, here, there):
-    """Return the round trip between two regions in seconds."""
+    """Return the round-trip time between two regions in seconds."""
     if here == there:
         return 0.001
     region = configuration.regions.get(here)
@@ -214,5 +222,5 @@
 
 
 def all_full(servers, now):
-    """Whether none of *servers* has a free slot."""
+    """Return whether none of *servers* has a free slot."""
     return all(server.load(now) >= server.slots for server in servers)
--- a/src/hyssopspring/core/plans.py
+++ b/src/hyssopspring/core/plans.py
@@ -1,4 +1,4 @@
-"""The attempts of one request: what to try next, and when to stop."""
+"""Sequence of attempts of one request: next step and termination."""
 
 from dataclasses import dataclass
 
@@ -11,12 +11,15 @@
 from .servers import Server
 
 MIN_ATTEMPT_SECONDS = 0.005
+"""Time before the deadline below which no further attempt is made."""
+
 MAX_RETRY_AFTER_SECONDS = 30.0
+"""Upper bound of the retry-after time of a refused request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Serve:
-    """Send an attempt to a backend server of the own data centre."""
+    """Send an attempt to a backend server of this data centre."""
 
     server: Server
     target: Target
@@ -35,25 +38,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """Give the caller its final outcome."""
+    """Return the final outcome to the caller."""
 
     outcome: Answered | NotRun | Unknown
 
 
 class Plan:
-    """Decide the attempts of one request, one after the other.
+    """Determine the attempts of one request, one at a time.
 
-    One budget of attempts covers retries, fallbacks and other regions
-    together, so that settings of different teams cannot multiply.
+    A single limit on attempts covers retries, fallbacks and other
+    regions, so that the settings of different teams do not multiply.
 
     Args:
         request: The `Request`.
         configuration: The `Configuration` in force.
-        table: `ServerTable` of the own data centre.
+        table: `ServerTable` of this data centre.
         centres: `CentreTable` of the other data centres.
         budget: `RetryBudget` of this host.
         rng: Random number generator.
-        policy: Name of the registered choice within a data centre.
+        policy: Name of the registered policy that selects a server within
+            a data centre.
     """
 
     def __init__(
@@ -96,12 +100,13 @@
         return step
 
     def check_queue(self, step, now):
-        """Return *step*, or the refusal of what would come too late.
+        """Return *step*, or a refusal if it would miss the deadline.
 
-        A request that is queued beyond its deadline takes a place from
-        those that could still be answered; under overload all come too
-        late then. Only the queue counts, not how long an answer took
-        before: with no request let through, that would never change.
+        A request that is queued beyond its deadline takes a slot from
+        requests that could still meet theirs, so under overload all
+        requests would miss their deadlines. Only the queueing time is
+        considered, not the duration of earlier responses: if no request
+        were admitted, that estimate would never be updated.
         """
         late = step.server.queue_wait(now) - (self.request.deadline - now)
         if late <= 0:
@@ -110,11 +115,11 @@
         return Finish(NotRun(Reason.OVERLOADED, wait))
 
     def record(self, outcome):
-        """Note the outcome of the step that `next` gave last."""
+        """Record the outcome of the step that `next` returned last."""
         self.outcomes.append(outcome)
 
     def final_outcome(self, now):
-        """Return the final outcome if no further attempt is allowed."""
+        """Return the final outcome, or `NOTHING` if a retry is allowed."""
         last = self.outcomes[-1]
         if isinstance(last, Answered):
             return last
@@ -129,11 +134,12 @@
         return NOTHING
 
     def may_repeat(self, last):
-        """Whether a further attempt cannot become a second run.
+        """Return whether another attempt cannot lead to a second run.
 
-        An attempt whose outcome is not known may have run, so a request
-        that must not be repeated ends with it. Without a key it ends
-        with its first attempt in any case: no claim stands behind it.
+        An attempt with an unknown outcome may have run, so it is the last
+        attempt of a request that must not be repeated. Without an
+        idempotency key, such a request ends with its first attempt in any
+        case, because no claim protects it.
         """
         if self.request.repeatable:
             return True
@@ -142,13 +148,13 @@
         return isinstance(last, NotRun)
 
     def conclude(self, reason):
-        """Return the final outcome when nothing is left to try."""
+        """Return the final outcome when no attempt is possible any more."""
         if self.outcomes:
             return combine(self.outcomes)
         return NotRun(reason)
 
     def find_next_step(self, now):
-        """Return the best untried step over target and fallbacks."""
+        """Return the best untried step for the target and its fallbacks."""
         for target in (self.request.target, *self.request.fallbacks):
             step = self.find_step_for(target, now)
             if step is not NOTHING:
@@ -174,10 +180,10 @@
         return NOTHING
 
     def serve(self, target, now):
-        """Return an attempt in the own data centre, or `NOTHING`."""
+        """Return an attempt in this data centre, or `NOTHING`."""
         ensure(
             self.centres.region in self.allowed(target),
-            "served outside the request's residency",
+            "request would be served outside its residency",
         )
         untried = [
             server
@@ -197,13 +203,12 @@
     def forward(self, summary, target):
         """Return an attempt in another data centre, or `NOTHING`.
 
-        A request that was forwarded once stays where it is: two gateways
-        that each hold the other for less loaded would send it to and fro
-        without end.
+        A forwarded request is not forwarded again: two gateways that each
+        consider the other less loaded would forward it in a loop.
         """
         ensure(
             summary.region in self.allowed(target),
-            "forwarded outside the request's residency",
+            "request would be forwarded outside its residency",
         )
         if self.request.path or not summary.gateways:
             return NOTHING
--- a/src/hyssopspring/core/requests.py
+++ b/src/hyssopspring/core/requests.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, after its headers and rights are resolved."""
+"""Model of a request after its headers and rights are resolved."""
 
 import enum
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a request is; engines take the lower number first."""
+    """Urgency of a request; engines run lower numbers first."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -15,7 +15,7 @@
 
 
 class TargetKind(enum.StrEnum):
-    """Which kind of backend server a request is for."""
+    """Kind of backend server that a request is for."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A model or a service, by name."""
+    """A model or a service, identified by its name."""
 
     kind: TargetKind
     name: str
@@ -36,19 +36,19 @@
     Attributes:
         id: Identifier, unique over all hosts.
         workspace: Name of the customer's workspace.
-        target: Model or service that is asked for.
+        target: Requested model or service.
         residency: Regions in which the request may be served.
         home: Region in which the workspace prefers to be served.
-        deadline: Time of the caller's deadline on the host's clock, in
-            seconds.
-        priority: Urgency, passed on to engines.
-        repeatable: Whether a second run would do no harm.
+        deadline: Deadline of the caller on this host's clock, in seconds.
+        priority: Urgency, which is forwarded to engines.
+        repeatable: Whether a second run is harmless.
         key: Idempotency key of the caller, or `NOTHING`.
         prefix: Hash of the start of the prompt.
-        attempts: Most attempts over retries, fallbacks and hedges.
-        fallbacks: Models to try when no server of the target takes it.
-        stream: Whether the answer is wanted in parts as it is made.
-        path: Hosts that the request passed before this one.
+        attempts: Maximum number of attempts, including retries, fallbacks
+            and hedges.
+        fallbacks: Models to try if no server of the target accepts it.
+        stream: Whether the response is to be streamed.
+        path: Hosts that forwarded the request to this one.
     """
 
     id: str
--- a/src/hyssopspring/core/sentinels.py
+++ b/src/hyssopspring/core/sentinels.py
@@ -1,10 +1,10 @@
-"""Sentinels that stand in the place of a value."""
+"""Sentinel values."""
 
 import enum
 
 
 class _Nothing(enum.Enum):
-    """Hold the single member `NOTHING`."""
+    """Enumeration with the single member `NOTHING`."""
 
     NOTHING = enum.auto()
 
@@ -16,11 +16,11 @@
 
 
 NOTHING = _Nothing.NOTHING
-"""The value was not given. It is false in a condition."""
+"""The value is absent. It is false in a Boolean context."""
 
 
 class _Invalid(enum.Enum):
-    """Hold the single member `INVALID`."""
+    """Enumeration with the single member `INVALID`."""
 
     INVALID = enum.auto()
 
@@ -29,4 +29,4 @@
 
 
 INVALID = _Invalid.INVALID
-"""The value was given, but it cannot be read."""
+"""The value is present but cannot be parsed."""
--- a/src/hyssopspring/core/servers.py
+++ b/src/hyssopspring/core/servers.py
@@ -1,4 +1,4 @@
-"""What a host knows of the backend servers of its own data centre."""
+"""State of the backend servers of a data centre, as seen by one host."""
 
 from dataclasses import dataclass, field
 
@@ -6,25 +6,39 @@
 from .sentinels import NOTHING
 
 REPORT_HALF_LIFE_SECONDS = 2.0
+"""Age at which the load in a report counts half."""
+
 FAILURE_PAUSE_SECONDS = 1.0
+"""Pause of a server after its first failure; it doubles with each further
+failure in a row."""
+
 MAX_FAILURE_PAUSE_SECONDS = 30.0
+"""Upper bound of the pause of a failing server."""
+
 DEFAULT_SLOTS = 8
+"""Assumed slots of a server that has not sent a load report."""
+
 FALLING_WEIGHT = 0.3
+"""Weight of a sample below the average time to the first token."""
+
 RISING_WEIGHT = 0.03
+"""Weight of a sample above the average time to the first token."""
+
 TRANSFER_WEIGHT = 0.1
+"""Weight of a sample in the average time from first to last byte."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServerEntry:
-    """A backend server as the platform's host list names it.
+    """Entry of a backend server in the host list of the platform.
 
     Attributes:
         name: Name, unique over all data centres.
         address: IP address and port, as ``ip:port``.
-        region: Region that it stands in.
-        data_centre: Data centre that it stands in.
+        region: Region of the server.
+        data_centre: Data centre of the server.
         targets: Models or services that it serves, as `Target`.
-        leaving: Whether the list says that it is about to go.
+        leaving: Whether the list marks it as draining.
     """
 
     name: str
@@ -37,17 +51,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """Load that a backend server reported of itself.
+    """Load report of a backend server.
 
     Attributes:
-        incarnation: Changes each time that the server starts; the
-            `short_id` of what it calls itself.
-        sequence: Grows with each report of one incarnation.
-        running: Requests that it is working on.
-        waiting: Requests that it has queued.
-        slots: Requests that it can work on at once.
-        leaving: Whether it said that it takes no new work.
-        at: Time of arrival on the host's clock, in seconds.
+        incarnation: `short_id` of the server's identifier of its process,
+            which changes with each start.
+        sequence: Sequence number within one incarnation.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        slots: Number of requests that it can run concurrently.
+        leaving: Whether it announced that it accepts no new requests.
+        at: Time of arrival on this host's clock, in seconds.
     """
 
     incarnation: int
@@ -61,20 +75,23 @@
 
 @dataclass(slots=True)
 class Server:
-    """A backend server with all evidence about it.
+    """A backend server with all state that is recorded for it.
 
     Attributes:
-        entry: What the host list says.
+        entry: Its entry in the host list.
         report: Newest load report, or `NOTHING`.
-        in_flight: Requests that this host has there now.
-        sent_since_report: Requests sent after the newest report.
-        left_incarnation: Incarnation that said it leaves, or `NOTHING`.
-        failures: Failed attempts in a row.
+        in_flight: Number of requests that this host has in flight there.
+        sent_since_report: Number of requests sent since the newest
+            report.
+        leaving_incarnation: Incarnation that announced that it drains, or
+            `NOTHING`.
+        failures: Number of consecutive failed attempts.
         paused_until: Time until which it is tried last.
-        first_token: Seconds to the first byte when nothing is queued;
-            a moving average that falls fast and rises slowly, so that
-            times in the queue, which are estimated apart, hardly count.
-        making: Moving average of seconds from first to last byte.
+        first_token: Seconds to the first byte with an empty queue. This
+            moving average falls fast and rises slowly, so that queueing
+            times, which are estimated separately, have little influence.
+        transfer_seconds: Moving average of the seconds from the first to
+            the last byte.
     """
 
     entry: ServerEntry
@@ -89,12 +106,12 @@
 
     @property
     def leaving(self):
-        """Whether any evidence says that the server is leaving.
+        """Whether the server is draining, by the host list or its reports.
 
-        The host list lags, so a server may still stand there as live
-        after it said itself that it leaves. The server's own word holds
-        until it has started anew, which its incarnation shows; else a
-        late list entry would send new work to it again.
+        The host list lags, so it may still list a server as live that
+        has announced that it drains. The announcement applies until the
+        server restarts, which a new incarnation shows. Otherwise an
+        outdated list entry would direct new requests to it.
         """
         if self.entry.leaving:
             return True
@@ -102,13 +119,13 @@
 
     @property
     def slots(self):
-        """Requests that the server can work on at once."""
+        """Number of requests that the server can run concurrently."""
         if self.report is NOTHING:
             return DEFAULT_SLOTS
         return max(1, self.report.slots)
 
     def record_times(self, first_token, transfer_seconds):
-        """Take over the times of one answer."""
+        """Update the moving averages with the times of one response."""
         gap = first_token - self.first_token
         if self.first_token:
             self.first_token += gap * (
@@ -122,10 +139,11 @@
             )
 
     def load(self, now):
-        """Estimate the requests that the server has at *now*.
+        """Estimate the number of requests on the server at *now*.
 
-        An old report says little of what other hosts have sent since, so
-        it fades with its age; what this host itself sent always counts.
+        An old report says little about requests that other hosts have
+        sent since, so its weight decays with its age. The requests of
+        this host always count in full.
         """
         if self.report is NOTHING:
             return float(self.in_flight)
@@ -138,7 +156,7 @@
         )
 
     def wait(self, now):
-        """Estimate the seconds to the first token for one more request."""
+        """Estimate the seconds to the first token of one more request."""
         return self.first_token + self.queue_wait(now)
 
     def queue_wait(self, now):
@@ -155,7 +173,7 @@
     Attributes:
         data_centre: The data centre.
         servers: `Server` by name.
-        names: Name by `short_id`, for small messages.
+        names: Server name by `short_id`, which messages contain.
     """
 
     data_centre: str
@@ -163,13 +181,13 @@
     names: dict[int, str] = field(default_factory=dict)
 
     def replace(self, entries):
-        """Take over the host list; keep the evidence on known servers.
+        """Apply the host list; keep the recorded state of known servers.
 
         Args:
             entries: Each `ServerEntry` of the list, of any data centre.
 
         Returns:
-            Names that are new and names that are gone, as two sets.
+            Set of the names added and set of the names removed.
         """
         local_entries = {
             entry.name: entry
@@ -189,15 +207,14 @@
         return set(local_entries) - before, before - set(local_entries)
 
     def apply_report(self, name, report):
-        """Note a load report unless a newer one is known.
+        """Apply a load report unless a newer one is stored.
 
-        Reports cross the network by several ways and arrive late or
-        twice. One of the same incarnation with no greater sequence is
-        older news, which would bring back a load, or a readiness, that
-        has passed.
+        Reports arrive over several paths and may be late or duplicated.
+        A report of the same incarnation whose sequence number is not
+        greater is outdated and would restore a former load or readiness.
 
         Returns:
-            Whether the report was news.
+            Whether the report was newer.
         """
         server = self.servers.get(name)
         if server is None:
@@ -216,7 +233,7 @@
         return True
 
     def mark_leaving(self, name):
-        """Note that the server itself refused new work since it leaves."""
+        """Record that the server refused a request because it drains."""
         server = self.servers.get(name)
         if server is None:
             return
@@ -226,7 +243,7 @@
         server.leaving_incarnation = incarnation
 
     def record_attempt(self, name):
-        """Count an attempt that is about to be sent."""
+        """Record an attempt that is about to be sent."""
         server = self.servers[name]
         server.in_flight += 1
         server.sent_since_report += 1
@@ -240,17 +257,18 @@
         first_token=NOTHING,
         transfer_seconds=NOTHING,
     ):
-        """Count an attempt that has ended.
+        """Record the end of an attempt.
 
         Args:
-            name: The server; it may have left the list meanwhile.
+            name: Name of the server, which may have left the list meanwhile.
             now: Time on the host's clock, in seconds.
-            failed: Whether the server is to blame for a failure.
-            first_token: Seconds to the first byte, if it came.
-            transfer_seconds: Seconds from first to last byte, if it came.
+            failed: Whether the attempt failed due to the server.
+            first_token: Seconds to the first byte, if it arrived.
+            transfer_seconds: Seconds from the first to the last byte, if it
+                arrived.
 
         Returns:
-            Whether the server is now tried last, and was not before.
+            Whether the server has become paused, and is now tried last.
         """
         server = self.servers.get(name)
         if server is None:
@@ -268,9 +286,9 @@
         return changed
 
     def available_servers(self, target, now):
-        """Return the servers that may get new work for *target*.
+        """Return the servers that may get new requests for *target*.
 
-        Servers that failed lately are left out while others remain.
+        Paused servers are excluded unless all servers are paused.
         """
         eligible = [
             server
@@ -283,7 +301,7 @@
         return unpaused or eligible
 
     def summarize(self, now):
-        """Return slots, load and wait of each target in the centre.
+        """Return slots, load and wait of each target in the data centre.
 
         Returns:
             Mapping from `Target` to a tuple of slots, load and the
