--- a/src/hyssopspring/core/shares.py
+++ b/src/hyssopspring/core/shares.py
@@ -1,9 +1,11 @@
-"""Shares of a workspace's limits, held by hosts.
-
-A limit counts over all hosts. Each host admits by its own share of it,
-and the shares are kept in a ledger whose sum never exceeds the whole. A
-host uses less before it writes less, and more only after it has written
-more; so the sum holds in every cut and through every lost answer.
+"""Shares of the limits of workspaces that hosts hold.
+
+A limit applies over all hosts. Each host admits requests up to its own
+share, and the shares are stored in a ledger in which their sum never
+exceeds the limit. A host reduces its usage before it writes a smaller
+share, and increases it only after it has written a larger one. The sum
+therefore stays within the limit during network partitions and when
+responses are lost.
 """
 
 from dataclasses import dataclass, field
@@ -15,20 +17,33 @@
 from .sentinels import NOTHING
 
 TOTAL_UNITS = 10_000
+"""Units into which each limit is divided."""
+
 LEDGER_COUNT = 8
+"""Ledgers among which the workspaces are distributed."""
+
 HOLDING_LIFETIME_SECONDS = 7200.0
+"""Time for which a holding may be used without renewal."""
+
 MAX_CLOCK_SKEW_SECONDS = 60.0
+"""Time after its expiry at which a holding is reclaimed, which bounds the
+tolerated difference between the wall clocks of hosts."""
+
 DEMAND_HEADROOM = 1.3
+"""Factor by which the requested rate exceeds the measured demand."""
+
 HOME_MIN_SHARE = 0.3
+"""Fraction of each limit that the hosts of the home region keep without
+demand, so that they can serve the workspace without the platform."""
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """What one host holds of one workspace's limits.
+    """Share of the limits of a workspace that a host holds.
 
     Attributes:
-        units: Units of `TOTAL_UNITS` that it holds.
-        wanted: Units that it could use.
-        until: Wall-clock second until which it may use them.
+        units: Number of units held, out of `TOTAL_UNITS`.
+        wanted: Number of units that the host could use.
+        expires_at: Wall-clock second until which it may use the units.
     """
 
     units: int
@@ -37,14 +52,14 @@
 
 
 NO_HOLDING = Holding(0, 0, 0)
-"""Stands for a host that holds nothing."""
+"""Holding of a host that has no units."""
 
 
 class Ledger(msgspec.Struct, frozen=True, array_like=True):
-    """All holdings of some workspaces.
+    """All holdings of a group of workspaces.
 
     Attributes:
-        holdings: `Holding` by host, by workspace.
+        holdings: `Holding` by host, for each workspace.
     """
 
     holdings: dict[str, dict[str, Holding]] = {}
@@ -52,13 +67,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ShareDemand:
-    """What a host wants of one workspace's limits.
+    """Demand of a host for the limits of a workspace.
 
     Attributes:
-        units: Units that it could use.
-        busy_units: Units that its requests in progress take up. They cannot be
-            given away before those end, else the next holder's requests
-            would come on top of them.
+        units: Number of units that the host could use.
+        busy_units: Number of units that its requests in progress use.
+            They cannot be released before these requests end; otherwise
+            the requests of the next holder would exceed the limit.
     """
 
     units: int = 0
@@ -66,17 +81,17 @@
 
 
 def ledger_of(workspace):
-    """Return the number of the ledger that a workspace stands in."""
+    """Return the number of the ledger that contains a workspace."""
     return hash_text(workspace) % LEDGER_COUNT
 
 
 def fair_units(wanted, host, whole=TOTAL_UNITS):
-    """Return the max-min fair units of *host* among what all want.
+    """Return the max-min fair share of *host*.
 
     Args:
-        wanted: Wanted units by host.
-        host: The host.
-        whole: Units that there are.
+        wanted: Requested units by host.
+        host: Name of the host.
+        whole: Number of units to distribute.
     """
     left = whole
     waiting = dict(wanted)
@@ -94,18 +109,19 @@
 
 
 def allocate(ledger, host, wants, wall, lifetime=HOLDING_LIFETIME_SECONDS):
-    """Return the ledger with what *host* may hold now.
+    """Return the ledger with an updated holding of *host*.
 
     Args:
-        ledger: The `Ledger` as it stands.
-        host: The host.
+        ledger: The current `Ledger`.
+        host: Name of the host.
         wants: `ShareDemand` by workspace.
-        wall: Wall clock in seconds.
-        lifetime: Seconds for which a holding may be used unrenewed.
+        wall: Wall-clock time in seconds.
+        lifetime: Seconds for which a holding may be used without renewal.
 
     Returns:
-        The next `Ledger`. Holdings whose time is long over are taken
-        back; their holder has stopped using them by its own clock.
+        The updated `Ledger`. Holdings that have been expired for longer
+        than the maximum clock skew are reclaimed; their holders have
+        stopped using them by their own clocks.
     """
     holdings = dict(ledger.holdings)
     for workspace, want in wants.items():
@@ -129,43 +145,49 @@
 
 
 def check_total(holdings):
-    """Assert that holdings do not add up to more than the whole."""
+    """Check that the sum of holdings does not exceed `TOTAL_UNITS`."""
     total = sum(held.units for held in holdings.values())
-    ensure(total <= TOTAL_UNITS, f"shares add up to {total} of {TOTAL_UNITS}")
+    ensure(
+        total <= TOTAL_UNITS,
+        f"sum of shares is {total}, more than {TOTAL_UNITS}",
+    )
 
 
 def decode_ledger(data):
-    """Return the `Ledger` that *data* stands for.
+    """Deserialize a `Ledger`.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: *data* is not a valid ledger.
     """
     try:
         return msgspec.msgpack.decode(data, type=Ledger)
     except msgspec.DecodeError as error:
-        raise ProtocolError(f"no ledger: {error}") from None
+        raise ProtocolError(f"invalid ledger: {error}") from None
 
 
 def encode_ledger(ledger):
-    """Return the bytes that are stored for *ledger*."""
+    """Serialize *ledger* for storage."""
     return msgspec.msgpack.encode(ledger)
 
 
 @dataclass(slots=True)
 class Usage:
-    """What one host lets through of one workspace.
+    """Usage of the limits of one workspace on one host.
 
     Attributes:
-        units: Units in use, never more than are held.
-        until: Wall-clock second until which they may be used.
-        tokens: Requests that may start now.
-        at: Time of the last refill, on the host's clock.
-        active: Requests in progress.
-        asked: Requests asked for since the last measure.
-        demand: Moving average of requests asked for a second.
-        peak: Most requests in progress or refused for it, lately.
-        turned_away: Requests refused since the last measure.
-        tried_at: When units were last asked for.
+        units: Number of units in use, never more than are held.
+        expires_at: Wall-clock second until which they may be used.
+        tokens: Number of requests that may start now.
+        at: Time of the last refill, on this host's clock.
+        active: Number of requests in progress.
+        requested: Number of requests received since the last update of
+            the demand.
+        demand: Moving average of requests received per second.
+        peak: Recent maximum of the requests in progress plus those
+            rejected by the concurrency limit.
+        rejected: Number of requests rejected by the concurrency limit
+            since the last update of the demand.
+        last_request_at: Time at which units were last requested.
     """
 
     units: int = 0
@@ -180,24 +202,25 @@
     last_request_at: float = field(default=float("-inf"))
 
     def rate(self, limits, wall):
-        """Return the requests a second that may start."""
+        """Return the number of requests per second that may start."""
         return (
             limits.requests_per_second * self.usable_units(wall) / TOTAL_UNITS
         )
 
     def concurrency(self, limits, wall):
-        """Return the requests that may be in progress."""
+        """Return the number of requests that may be in progress."""
         return int(limits.concurrent * self.usable_units(wall) / TOTAL_UNITS)
 
     def usable_units(self, wall):
-        """Return the units that may be used at *wall*."""
+        """Return the number of units that may be used at *wall*."""
         return self.units if wall < self.expires_at else 0
 
     def try_start(self, limits, now, wall):
         """Start a request if the share allows it.
 
         Returns:
-            `NOTHING` if it may start, else the name of the limit.
+            `NOTHING` if it may start, else the name of the limit that is
+            reached.
         """
         if limits.concurrent is not None:
             self.peak = max(self.peak, self.active + 1)
@@ -217,24 +240,24 @@
         return NOTHING
 
     def update_demand(self, seconds):
-        """Fold what was asked for in the last *seconds* into demand."""
+        """Update the demand with the requests of the last *seconds*."""
         self.demand += 0.5 * (self.requested / seconds - self.demand)
         self.requested = 0
         self.peak = max(self.active, self.peak // 2)
         self.rejected = 0
 
     def busy_units(self, limits):
-        """Return the units that the requests in progress take up."""
+        """Return the number of units that requests in progress use."""
         if limits.concurrent is None:
             return 0
         return -(-self.active * TOTAL_UNITS // limits.concurrent)
 
     def wanted(self, limits, floor):
-        """Return the units that this host could use.
+        """Return the number of units that this host could use.
 
         Args:
             limits: The workspace's `Limits`.
-            floor: Units to keep in any case.
+            floor: Minimum number of units to keep.
         """
         shares = [0.0]
         if limits.requests_per_second is not None:
--- a/src/hyssopspring/core/tokenlimits.py
+++ b/src/hyssopspring/core/tokenlimits.py
@@ -1,14 +1,15 @@
-"""Limits in tokens that hold over all hosts, without a leader or a store.
-
-Each region owns an equal share of each limit, counted by the host that
-places its requests: a bucket that fills at its part of the rate. A region
-that runs short asks the others for tokens. What is given leaves the bucket
-of the giver before it is sent, and fills that of the asker once; so nothing
-is ever there twice, whatever is cut, lost, doubled or late.
-
-Several hosts of a region may count at once: as the one that counts dies, or
-as the region is cut in two. Each then uses only the part of the region's
-share that belongs to the hosts that count on it.
+"""Token limits over all hosts, without a leader or a store.
+
+Each region has an equal share of each limit, which the placing host of the
+region enforces by a token bucket that is refilled at its share of the rate. A
+region that runs short requests tokens from the others. Transferred tokens are
+removed from the bucket of the sender before they are sent, and added to that
+of the requester only once. Tokens are therefore never available twice,
+whether the network is partitioned or messages are lost, duplicated or late.
+
+Several hosts of a region may enforce the limit at once, when the placing host
+fails or the region is partitioned. Each of them then uses only the fraction
+of the region's share that corresponds to the hosts that rely on it.
 """
 
 import math
@@ -21,52 +22,54 @@
 __all__ = ["TRANSFER_LIFETIME_SECONDS", "Allowance", "Shortage", "TokenLimits"]
 
 TRANSFER_LIFETIME_SECONDS = 1.0
-"""Seconds from the question in which tokens of another region may be used.
-Older ones could come on top of a whole window."""
+"""Time after a request for tokens in which transferred tokens may be used.
+Older ones could be used in addition to the tokens of a whole window."""
 
 DEMAND_TIME_CONSTANT_SECONDS = 1.0
-"""Time constant of the moving average of what a workspace asks for."""
+"""Time constant of the moving average of the demand of a workspace."""
 
 DEMAND_AHEAD_SECONDS = 0.8
-"""Seconds of its demand that a region wants to hold: two rounds of questions
-and the way to another region and back."""
+"""Seconds of its demand for which a region aims to hold tokens: two rounds of
+transfer requests and the round trip to another region."""
 
 MIN_RESERVE_FRACTION = 0.5
-"""Part of its bucket that a region wants to hold whatever its demand, and
-does not give away, for the first requests of a workspace."""
+"""Fraction of its bucket that a region aims to hold regardless of its demand,
+and does not transfer, for the first requests of a workspace."""
 
 SURPLUS_TIME_CONSTANT_SECONDS = 1.0
-"""Time constant in which tokens above the own bucket go. What is handed over
-is needed at once."""
+"""Time constant with which tokens above the bucket size decay. Transferred
+tokens are needed immediately."""
 
 BURST_SLACK_FRACTION = 0.4
-"""Part of the tolerated excess that counts as burst. The rest covers hosts
-that count beside each other until they have heard of it."""
+"""Fraction of the slack that is used as burst. The rest covers hosts that
+enforce the limit in parallel until they have received notice of it."""
 
 RATE_OVERAGE_FRACTION = 0.5
-"""Part of the tolerated excess of the rate that is used."""
+"""Fraction of the tolerated overage that is used for the rate."""
 
 START_OVERAGE_FRACTION = 0.25
-"""Part of the tolerated excess of a whole window that a bucket holds when it
-is new: after an end of all hosts, all callers come back in one second."""
+"""Fraction of the tolerated overage of a whole window that a new bucket holds.
+After a failure of all hosts, all callers retry within one second."""
 
 LARGE_REQUEST_FRACTION = 0.9
-"""Part of its bucket that a request must find full to pass which is larger
-than the bucket; it leaves a debt. It could never pass else."""
+"""Fraction of the bucket that must be filled for a request to pass that is
+larger than the bucket. It leaves a negative level. Without this rule, such a
+request could never pass."""
 
 MAX_CHARGES = 8192
-"""Charges that may be given back; a busy region makes 2,000 in the time in
-which a request shows that it has not run."""
+"""Maximum number of charges that are kept for a refund. A busy region makes
+2,000 charges in the time after which it is certain that a request has not
+run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """By how much a limit may be exceeded over all hosts.
+    """Tolerance by which a limit may be exceeded over all hosts.
 
     Attributes:
-        overage: Part of the limit.
-        slack: Tokens besides, in the window over which is counted.
-        window: Seconds of that window.
+        overage: Tolerated excess as a fraction of the limit.
+        slack: Number of tokens tolerated in addition, per window.
+        window: Length of the window in seconds.
     """
 
     overage: float = 0.0
@@ -74,11 +77,11 @@
     window: float = 0.0
 
     def rate(self, limit):
-        """Return the tokens a second that are let through of a limit."""
+        """Return the admitted tokens per second for a limit."""
         return limit.rate * (1.0 + self.overage * RATE_OVERAGE_FRACTION)
 
     def extra(self):
-        """Return the tokens that a bucket holds above the burst."""
+        """Return the tokens that a bucket holds in addition to the burst."""
         return self.slack * BURST_SLACK_FRACTION
 
     def start(self, limit):
@@ -87,7 +90,7 @@
         return self.extra() + whole * self.overage * START_OVERAGE_FRACTION
 
     def burst(self, limit):
-        """Return the most tokens that are let through at once."""
+        """Return the maximum number of tokens that are admitted at once."""
         return (
             limit.burst * (1.0 + self.overage * RATE_OVERAGE_FRACTION)
             + self.extra()
@@ -96,13 +99,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shortage:
-    """There are too few tokens for a request.
+    """Result for a request that has too few tokens.
 
     Attributes:
-        seconds: Time until there should be enough.
-        units: Units of `TOTAL_UNITS` that this host counts.
-        level: Tokens that are left.
-        demand: Tokens a second that are asked for here.
+        seconds: Estimated seconds until there are enough tokens.
+        units: Units of `TOTAL_UNITS` that this host enforces.
+        level: Remaining tokens.
+        demand: Tokens per second that are requested on this host.
     """
 
     seconds: float
@@ -113,14 +116,16 @@
 
 @dataclass(slots=True, eq=False)
 class Usage:
-    """What one host lets through of one workspace's limit.
+    """Token bucket of one workspace on one host.
 
     Attributes:
-        level: Tokens that may pass now; negative after a large request.
-        at: Time for which *level* holds.
-        demand: Moving average of tokens asked for, a second.
-        wishes: Tokens that other hosts asked for last, with the time.
-        taken: Time of the newest question whose answer was taken, by giver.
+        level: Number of available tokens; negative after a large request.
+        at: Time at which *level* applies.
+        demand: Moving average of the requested tokens per second.
+        recent_requests: Number of tokens that other hosts requested last
+            and the time of the request, by host.
+        last_transfers: Time of the newest request whose transfer was
+            applied, by sender.
     """
 
     level: float
@@ -131,13 +136,13 @@
 
 
 class TokenLimits:
-    """Decide which requests pass, and give away what is not needed.
+    """Enforce token limits, and transfer tokens that are not needed.
 
     Args:
         regions: Number of regions.
         allowance: The `Allowance`.
-        weight: Called for the part of the region's hosts that count on
-            this one, from 0 to 1.
+        weight: Callable that returns the fraction of the region's hosts
+            that rely on this one, from 0 to 1.
     """
 
     def __init__(self, regions, allowance, weight):
@@ -150,8 +155,8 @@
     def usage(self, workspace, limit, now):
         """Return the `Usage` of a workspace.
 
-        It begins nearly empty: a host that has just started, or has just
-        taken over, does not know what was let through a moment ago.
+        A new bucket is nearly empty: a host that has just started, or
+        has just taken over, has no record of recently admitted tokens.
         """
         usage = self.usages.get(workspace)
         if usage is None:
@@ -160,21 +165,21 @@
         return usage
 
     def units(self):
-        """Return the units of the whole that this host counts now."""
+        """Return the units of the limit that this host currently enforces."""
         return int(self.base * self.weight())
 
     def bucket_size(self, limit):
-        """Return the tokens to which this host's bucket fills by itself."""
+        """Return the number of tokens up to which the bucket is refilled."""
         return self.allowance.burst(limit) * self.units() / TOTAL_UNITS
 
     def refill(self, usage, limit, now):
-        """Add the tokens of the time that has passed.
+        """Add the tokens for the time since the last call.
 
-        What other regions gave may lie above the own bucket, for a short
-        time. So does what a lowered limit leaves of the one before: kept,
-        it would be let through long after the change. To be called often,
-        as the units change: the time before would else be counted at the
-        new rate.
+        Tokens from other regions may exceed the bucket size for a short
+        time. So may the tokens that remain after a limit is lowered: if
+        they were kept, they would be admitted long after the change. This
+        method must be called often, as the units change. Otherwise the
+        time before a change would be counted at the new rate.
         """
         seconds = max(0.0, now - usage.at)
         rate = self.allowance.rate(limit) * self.units() / TOTAL_UNITS
@@ -189,11 +194,11 @@
         usage.at = max(usage.at, now)
 
     def refill_all(self, limit_of, now):
-        """Settle all workspaces; forget those without a limit.
+        """Refill all workspaces; remove those without a limit.
 
         Args:
-            limit_of: Called with a name; returns the `TokenLimit`, or
-                `NOTHING`.
+            limit_of: Callable that returns the `TokenLimit` of a workspace,
+                or `NOTHING`.
             now: The time.
         """
         for name, usage in list(self.usages.items()):
@@ -204,17 +209,17 @@
                 self.refill(usage, limit, now)
 
     def try_take(self, workspace, limit, cost, now, key):
-        """Let a request pass if there are tokens for it.
+        """Admit a request if there are enough tokens.
 
         Args:
             workspace: Name of the workspace.
             limit: Its `TokenLimit`.
-            cost: Tokens of the request.
+            cost: Number of tokens of the request.
             now: The time.
-            key: What names the request in `refund`.
+            key: Identifier of the request for `refund`.
 
         Returns:
-            `NOTHING`, or the `Shortage`.
+            `NOTHING` if the request is admitted, else the `Shortage`.
         """
         usage = self.usage(workspace, limit, now)
         self.refill(usage, limit, now)
@@ -232,46 +237,46 @@
         return Shortage(missing / rate, units, usage.level, usage.demand)
 
     def expected_retries(self, usage, rate):
-        """Return the tokens that refused callers will ask for once more.
+        """Return the tokens that refused callers will request again.
 
-        Who comes back before them finds the bucket empty again; without
-        them, the callers of a workspace far above its limit all came back
-        within a tenth of a second.
+        A caller that retries before them finds the bucket empty again.
+        Without this term, all callers of a workspace far above its limit
+        retried within a tenth of a second.
         """
         return max(0.0, usage.demand - rate) * DEMAND_TIME_CONSTANT_SECONDS
 
     def refund(self, key):
-        """Return the tokens of a request that has not run."""
+        """Refund the tokens of a request that has not run."""
         workspace, cost = self.charges.pop(key, ("", 0))
         usage = self.usages.get(workspace)
         if usage is not None:
             usage.level += cost
 
     def discard_charge(self, key):
-        """Note that a request has run."""
+        """Discard the charge of a request that has run."""
         self.charges.pop(key, None)
 
     def target_level(self, usage, limit):
-        """Return the tokens that this host wants to hold."""
+        """Return the number of tokens that this host aims to hold."""
         least = self.bucket_size(limit) * MIN_RESERVE_FRACTION
         return min(
             limit.burst, max(least, usage.demand * DEMAND_AHEAD_SECONDS)
         )
 
     def tokens_to_request(self, workspace, limit, now):
-        """Return the tokens to ask other regions for, or 0."""
+        """Return the number of tokens to request from other regions, or 0."""
         usage = self.usage(workspace, limit, now)
         self.refill(usage, limit, now)
         return max(0, int(self.target_level(usage, limit) - usage.level))
 
     def transfer_out(self, workspace, limit, requester, requested, now):
-        """Give tokens that are not needed here; return their number.
+        """Transfer tokens that are not needed; return their number.
 
         Args:
             workspace: Name of the workspace.
             limit: Its `TokenLimit`.
-            requester: Name of the host that asks.
-            requested: Tokens that it asks for.
+            requester: Name of the requesting host.
+            requested: Number of tokens that it requests.
             now: The time.
         """
         usage = self.usage(workspace, limit, now)
@@ -288,14 +293,14 @@
         return tokens
 
     def transfer_in(self, workspace, limit, sender, tokens, stamp, now):
-        """Use what another region gives, once and in time.
+        """Apply a transfer of another region once, if it is in time.
 
         Args:
             workspace: Name of the workspace.
             limit: Its `TokenLimit`.
-            sender: Name of the host that gives.
-            tokens: Their number.
-            stamp: Time of the question, by this host's clock.
+            sender: Name of the host that sends the tokens.
+            tokens: Number of tokens.
+            stamp: Time of the request on this host's clock.
             now: The time.
         """
         usage = self.usage(workspace, limit, now)
--- a/src/hyssopspring/core/trust.py
+++ b/src/hyssopspring/core/trust.py
@@ -1,47 +1,59 @@
-"""How far a host may trust the configuration that it holds."""
+"""Trust level of a host in its configuration."""
 
 import enum
 
 from .sentinels import NOTHING
 
 MAX_FREEZE_SECONDS = 1.5
+"""Gap between two runs of the event loop after which a host counts as
+frozen."""
+
 MAX_REPLY_AGE_SECONDS = 1.5
+"""Age of the last platform reply up to which a host counts as in contact."""
+
 MAX_CONTACT_AGE_SECONDS = 1.5
+"""Age of the last direct or indirect contact with the platform up to which a
+host has full trust."""
+
 RESTRICTION_HOLD_SECONDS = (
     MAX_REPLY_AGE_SECONDS + MAX_CONTACT_AGE_SECONDS + 0.05
 )
+"""Time for which hosts enforce a restriction before it comes into force. A
+neighbour may pass on a reply at the age limit, so both limits add up."""
 
 
 class TrustLevel(enum.Enum):
-    """What a host may do by its configuration."""
+    """Extent to which a host may rely on its configuration."""
 
     FULL = "full"
     HOME_ONLY = "home only"
 
 
 class Trust:
-    """Tell whether rights may have been withdrawn unheard.
+    """Determine whether a host may have missed a withdrawal of rights.
 
-    A restriction comes into force once all hosts that the platform lists
-    have confirmed it, at least one in each data centre concerned, and
-    have held to it for a while. A host that was frozen, or that nobody
-    could reach, may have been left out. It would go on using a right
-    that is gone. It is sure not to have been left out if
+    A restriction comes into force once all hosts that the platform lists,
+    at least one in each affected data centre, have confirmed it and have
+    enforced it for some time. A host that was frozen or unreachable may
+    have been omitted and would continue to use a withdrawn right. A host
+    has certainly not been omitted if one of these rules applies:
 
-    - the platform was read just now, by itself or by a neighbour; or
-    - it has just heard every neighbour, and none is ahead: one of them
-      would have had to confirm.
+    - The platform was read recently, by the host itself or by a neighbour.
+    - The host has recently received a message from every neighbour, and
+      none has a newer generation. One of them would have had to confirm
+      the restriction.
 
-    Otherwise it serves only the workspaces at home in its region. Word
-    of other data centres is no proof, since those who speak may be cut
-    off together with it. While the platform is down for all, the second
-    rule keeps everything going.
+    Otherwise the host serves only the workspaces whose home is its region.
+    Messages from other data centres are no proof, since their senders may
+    be partitioned together with the host. While the platform is down for
+    all hosts, the second rule keeps the system in operation.
 
     Args:
         now: Time on the host's clock, in seconds.
 
     Attributes:
-        neighbours: Called with the time; whether the second rule holds.
+        neighbours: Callable that takes the time and returns whether the
+            second rule applies.
     """
 
     def __init__(self, now):
@@ -53,21 +65,22 @@
         self.frozen = False
 
     def record_wakeup(self, now):
-        """Note that the event loop runs; called often."""
+        """Record that the event loop runs; to be called often."""
         if now - self.last_wakeup_at > MAX_FREEZE_SECONDS:
             self.frozen = True
             self.resumed_at = now
         self.last_wakeup_at = now
 
     def record_platform_reply(self, asked_at, now, *, verified=False):
-        """Note word of the platform.
+        """Record a reply of the platform.
 
         Args:
-            asked_at: When it was asked for; the answer is no newer.
+            asked_at: Time of the request; the reply may be as old as that.
             now: Time on the host's clock, in seconds.
-            verified: Whether it was the configuration, and surely the
-                newest. After a gap in the contact nothing less will do:
-                a restriction may have come into force in the meantime.
+            verified: Whether the reply is the configuration and certainly
+                the newest one. After a gap in the contact this is
+                required, because a restriction may have come into force
+                in the meantime.
         """
         if not verified and self.level(now) is not TrustLevel.FULL:
             return
@@ -75,28 +88,32 @@
         self.last_contact_at = max(self.last_contact_at, asked_at)
 
     def record_neighbour_contact(self, now):
-        """Note word of a neighbour that has just read the platform."""
+        """Record a message of a neighbour that has just read the platform."""
         self.last_contact_at = now
 
     def record_verification(self, asked_at):
-        """Note a newest configuration that was asked for at *asked_at*.
+        """Record that the newest configuration, requested at a time, arrived.
 
-        Messages that waited in a queue while the host was frozen say
-        nothing of the present; an answer to a question that was asked
-        afterwards does.
+        Messages that were queued while the host was frozen are no evidence
+        of the current state. A reply to a request that was sent
+        afterwards is.
+
+        Args:
+            asked_at: Time of the request.
         """
         if asked_at >= self.resumed_at:
             self.frozen = False
 
     def in_contact(self, now):
-        """Whether this host itself has just read the platform."""
+        """Return whether this host itself has recently read the platform."""
         return now - self.last_reply_at <= MAX_REPLY_AGE_SECONDS
 
     def level(self, now):
-        """Return the `TrustLevel` at *now*.
+        """Return the `TrustLevel` at the time *now*.
 
-        The first request after a freeze may come before the loop's own
-        timers, so the time since the last wake counts here too.
+        The first request after a freeze may be handled before the timers
+        of the event loop, so the time since the last wake-up is checked
+        here as well.
         """
         self.record_wakeup(now)
         if self.frozen:
@@ -108,7 +125,7 @@
         return TrustLevel.HOME_ONLY
 
     def permitted(self, residency, home, region, now):
-        """Return what is left of a request's residency.
+        """Return the part of a residency that this host may use.
 
         Args:
             residency: Regions that the configuration permits.
@@ -117,8 +134,8 @@
             now: Time on the host's clock, in seconds.
 
         Returns:
-            Set of regions, or `NOTHING` if the host must not decide on
-            the request at all.
+            Set of regions, or `NOTHING` if the host must not handle the
+            request at all.
         """
         if self.level(now) is TrustLevel.FULL:
             return residency
@@ -128,5 +145,5 @@
 
 
 def no_neighbours(now):
-    """Stand for the neighbours of a host that has none."""
+    """Second rule of `Trust` for a host without neighbours."""
     return True
