--- a/src/hyssopspring/core/tokenlimits.py
+++ b/src/hyssopspring/core/tokenlimits.py
@@ -241,7 +241,7 @@
 
         A caller that retries before them finds the bucket empty again.
         Without this term, all callers of a workspace far above its limit
-        retried within a tenth of a second.
+        would retry within a tenth of a second.
         """
         return max(0.0, usage.demand - rate) * DEMAND_TIME_CONSTANT_SECONDS
 
--- a/src/hyssopspring/core/trust.py
+++ b/src/hyssopspring/core/trust.py
@@ -18,8 +18,10 @@
 RESTRICTION_HOLD_SECONDS = (
     MAX_REPLY_AGE_SECONDS + MAX_CONTACT_AGE_SECONDS + 0.05
 )
-"""Time for which hosts enforce a restriction before it comes into force. A
-neighbour may pass on a reply at the age limit, so both limits add up."""
+"""Time for which all listed hosts must keep confirming a restriction before it
+comes into force. A partitioned host, which the platform may no longer list,
+loses its full trust within this time. A neighbour may report its contact when
+its last reply is at the age limit, so the two limits are added."""
 
 
 class TrustLevel(enum.Enum):
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims under races, lost answers, frozen hosts and outages."""
+"""Claims under races, lost responses, frozen hosts and outages."""
 
 import os
 
@@ -43,7 +43,7 @@
             self.restart(host)
 
     def restart(self, host):
-        """Start a host that remembers nothing."""
+        """Start a host without any state."""
         client = MemoryKeyValue(self.store, self.clock)
         self.clients[host] = client
         self.logs[host] = ClaimLog(
@@ -58,7 +58,7 @@
         )
 
     def claim(self, host, key):
-        """Have a host claim a key; return the list its verdict goes to."""
+        """Submit a claim; return the list that receives its verdict."""
         self.number += 1
         nonce = self.number.to_bytes(8, "big")
         record = Record(key_digest("w", key), nonce, ClaimState.CLAIMED, 10**6)
@@ -75,7 +75,7 @@
         return verdicts
 
     def conclude(self, place, state):
-        """Have a holder say how its request ended."""
+        """Submit the outcome of the request of a holder."""
         host, key, record = self.held.pop(place % len(self.held))
         if state is ClaimState.RELEASED:
             who = record.nonce.hex()
@@ -84,7 +84,7 @@
         self.logs[host].submit(marked, self.clock.seconds() + 60)
 
     def advance(self, seconds):
-        """Let time pass in small steps; probes find the service back."""
+        """Advance the clock in small steps; probes detect a recovery."""
         for log in self.logs.values():
             if not self.store.faults.down:
                 log.health.record_success()
@@ -93,7 +93,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Draw claims and faults at random, and check each history."""
+    """Apply random claims and faults, and check each history."""
 
     def __init__(self):
         super().__init__()
@@ -116,13 +116,13 @@
         ),
     )
     def conclude(self, place, state):
-        """End a request whose key was granted."""
+        """Conclude a request whose key was granted."""
         if self.fleet.held:
             self.fleet.conclude(place, state)
 
     @rule(seconds=st.sampled_from([0.002, 0.006, 0.02, 0.6, 1.2]))
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the clock."""
         self.fleet.advance(seconds)
 
     @rule(
@@ -130,12 +130,12 @@
         count=st.integers(0, 2),
     )
     def lose(self, lost, count):
-        """Lose the next writes, or only their answers."""
+        """Lose the next writes, or only their responses."""
         setattr(self.fleet.store.faults, lost, count)
 
     @rule(stale=st.integers(0, 4))
     def answer_from_the_past(self, stale):
-        """Let reads lag behind."""
+        """Make reads return stale values."""
         self.fleet.store.faults.stale = stale
 
     @rule(down=st.booleans())
@@ -148,7 +148,7 @@
         delay=st.sampled_from([0.0, 0.01, 1.5]),
     )
     def delay_writes(self, host, delay):
-        """Let a host's writes take effect late."""
+        """Delay the effect of the writes of a host."""
         self.fleet.clients[host].write_delay = delay
 
     @rule(host=st.integers(0, HOSTS - 1))
@@ -158,12 +158,12 @@
 
     @rule(host=st.integers(0, HOSTS - 1))
     def thaw(self, host):
-        """Thaw a host."""
+        """Resume a frozen host."""
         self.fleet.clients[host].resume()
 
     @rule(host=st.integers(0, HOSTS - 1))
     def kill(self, host):
-        """Replace a host; what it had in mind is gone."""
+        """Replace a host; its state is lost."""
         self.fleet.restart(host)
         self.fleet.held = [held for held in self.fleet.held if held[0] != host]
 
@@ -176,10 +176,10 @@
 def test_no_key_runs_twice_under_random_faults():
     """Randomised runs never grant a key twice.
 
-    A user would see two endorsements for one review: two gateways take
-    the same key at once, the answer of one write is lost or one host is
-    frozen meanwhile, and both believe that the key is theirs. The cause
-    would be a claim that rests on anything but compare-and-swap.
+    Guards against a request that runs twice, such as two endorsements of
+    one review: two gateways claim a key at the same time, the response of
+    a write is lost or a host is frozen, and both are granted the key. This
+    is possible if claims depend on anything but compare-and-swap.
     """
     examples = int(os.environ.get("HYSSOP_SOAK_EXAMPLES", "60"))
     run_state_machine_as_test(
@@ -191,11 +191,11 @@
 
 
 def test_lost_answer_of_a_claim_is_settled_by_its_nonce():
-    """A claim whose answer was lost is found again in the log.
+    """A claim whose response was lost is found in the log.
 
-    A user would be told that the key is taken, by its own request: the
-    write took effect, its answer was lost, and the retry finds the key
-    held. The cause would be not to look who holds it.
+    Guards against refusing a request because of its own claim: the write
+    takes effect, its response is lost, and the retry finds the key held.
+    This occurs if the nonce of the holder is not compared.
     """
     fleet = Fleet()
     fleet.store.faults.lose_answers = 1
@@ -207,13 +207,13 @@
     assert_that(again, Equals([Verdict.IN_PROGRESS]))
 
 
-def test_release_outlaws_a_claim_that_is_still_under_way():
-    """A release bars a claim whose write was lost on the way.
+def test_release_blocks_a_claim_that_is_still_being_written():
+    """A release prevents a delayed claim from taking effect.
 
-    A user was told 'not run' and comes back with the same key, which is
-    then 'in progress' for good: the write of the first claim was held up
-    in the network and took effect after the caller was told. The cause
-    would be a release that is not written when the key looks free.
+    Guards against a key that stays in progress: the caller receives 'not
+    run' and retries with the same key, but the write of the first claim
+    was delayed in the network and takes effect after that response. This
+    occurs if a release is not written when the key appears free.
     """
     fleet = Fleet()
     first = fleet.claim(1, "other")
@@ -239,10 +239,10 @@
 
 
 def test_writes_do_not_grow_with_requests():
-    """Ten times the claims cost hardly more writes.
+    """Ten times as many claims need hardly more writes.
 
-    An operator would see the service's write rate exhausted at the
-    yearly peak: each claim as a write of its own.
+    Guards against exceeding the write rate of the key-value service at the
+    yearly peak, which occurs if each claim is a separate write.
     """
     writes = {}
     for rate in (200, 2000):
@@ -257,7 +257,7 @@
 
 
 def test_segments_roll_and_keep_what_they_hold():
-    """Keys of closed segments stay claimed for a host that starts anew."""
+    """Keys in closed segments stay claimed for a restarted host."""
     core.MAX_SEGMENT_RECORDS = 3
     try:
         fleet = Fleet()
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What the gateway's process must not load."""
+"""Modules that the gateway process must not import."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 
 
 def test_gateway_does_not_load_heavy_libraries():
-    """The gateway's memory budget leaves no room for these modules."""
+    """These modules exceed the memory budget of the gateway."""
     code = (
         "import sys, hyssopspring.gateway;"
         "print([m for m in ('pydantic', 'OpenSSL', 'matplotlib',"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits over all hosts, through cuts, lost answers and outages."""
+"""Limits over all hosts under partitions, lost responses and outages."""
 
 import os
 from types import SimpleNamespace
@@ -51,10 +51,10 @@
             self.start(host)
 
     def start(self, host):
-        """Start a host that remembers nothing.
+        """Start a host without any state.
 
-        An earlier one gets no more answers, and what it had in progress
-        ends with it, as engines stop work for a connection that is gone.
+        An earlier instance gets no more responses, and its requests in
+        progress end, as engines abort requests of a closed connection.
         """
         if host in self.clients:
             self.clients[host].paused = True
@@ -98,7 +98,7 @@
         )
 
     def ask(self, host, seconds):
-        """Send a request to a host; it takes *seconds* if it starts."""
+        """Send a request to a host; it runs for *seconds* if it starts."""
 
         async def run():
             self.started.append(self.clock.seconds())
@@ -121,12 +121,16 @@
         return sum(self.running)
 
     def advance(self, seconds):
-        """Let time pass; hosts do their periodic work once a second."""
+        """Advance the clock; hosts do their periodic work once a second."""
         for _ in range(round(seconds / 0.002)):
             before = int(self.clock.seconds())
             self.clock.advance(0.002)
-            assert self.in_use() <= TOTAL_UNITS, "more in use than the whole"
-            assert self.active <= CONCURRENT, "more running than allowed"
+            assert self.in_use() <= TOTAL_UNITS, (
+                "units in use exceed the limit"
+            )
+            assert self.active <= CONCURRENT, (
+                "concurrent requests exceed the limit"
+            )
             assert not self.failures, self.failures[0].getErrorMessage()
             if int(self.clock.seconds()) > before:
                 for limits in self.limits.values():
@@ -143,7 +147,7 @@
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Draw demand and faults at random; check the sum of all shares."""
+    """Apply random demand and faults; check the sum of all shares."""
 
     def __init__(self):
         super().__init__()
@@ -157,7 +161,7 @@
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 1.5, 4.0]))
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the clock."""
         self.fleet.advance(seconds)
 
     @rule(
@@ -176,7 +180,7 @@
 
     @rule(host=st.integers(0, HOSTS - 1), cut=st.booleans())
     def cut(self, host, cut):
-        """Cut a host from the service, or heal it."""
+        """Disconnect a host from the service, or reconnect it."""
         self.fleet.clients[host].cut = cut
 
     @rule(
@@ -184,7 +188,7 @@
         delay=st.sampled_from([0.0, 0.02, 1.5]),
     )
     def delay(self, host, delay):
-        """Let a host's writes take effect late."""
+        """Delay the effect of the writes of a host."""
         self.fleet.clients[host].write_delay = delay
 
     @rule(host=st.integers(0, HOSTS - 1))
@@ -193,18 +197,18 @@
         self.fleet.start(host)
 
     def teardown(self):
-        """Nothing started more often than the limit over the run."""
+        """Check that no more requests started than the limit allows."""
         started = self.fleet.started
         seconds = self.fleet.clock.seconds() - 1000
         assert len(started) <= RATE * (seconds + 1) + HOSTS
 
 
 def test_shares_never_add_up_to_more_than_the_limit():
-    """Randomised runs keep the sum of shares within the whole.
+    """Randomised runs keep the sum of shares within the limit.
 
-    A workspace would be served more often than allowed: a host that was
-    cut off keeps its share while another takes it, or the answer of a
-    write is lost and both sides count the same units as theirs.
+    Guards against serving a workspace beyond its limit: a disconnected
+    host keeps its share while another host takes it, or the response of a
+    write is lost and two hosts use the same units.
     """
     examples = int(os.environ.get("HYSSOP_SOAK_EXAMPLES", "40"))
     run_state_machine_as_test(
@@ -216,7 +220,7 @@
 
 
 def offered(fleet, hosts, each, seconds):
-    """Offer *each* requests a second to hosts; return how many start."""
+    """Send *each* requests per second to hosts; return how many start."""
     before = len(fleet.started)
     for _ in range(round(seconds * 20)):
         for host in hosts:
@@ -229,8 +233,8 @@
 def test_unused_share_moves_to_where_the_demand_is():
     """A host gets most of the limit within seconds when others are idle.
 
-    A workspace would be refused at a quarter of its limit: the shares
-    stay where the demand was yesterday.
+    Guards against refusing a workspace at a quarter of its limit, which
+    occurs if shares stay where the demand was before.
     """
     fleet = Fleet()
     offered(fleet, [0], 200, 4)
@@ -248,10 +252,10 @@
 
 
 def test_lost_write_gives_no_share():
-    """A host whose write was lost uses nothing of what it asked for.
+    """A host whose write was lost uses none of the requested units.
 
-    A workspace would be served twice its limit: one host takes the whole
-    by a write that never arrives, and another one takes it as well.
+    Guards against serving a workspace twice its limit: one host uses the
+    whole limit after a write that never arrives, and so does another.
     """
     fleet = Fleet()
     fleet.store.faults.lose_requests = 1
@@ -263,11 +267,11 @@
 
 
 def test_share_in_use_is_not_given_away():
-    """Units of running requests stay until those have ended.
+    """Units of running requests are kept until these have ended.
 
-    A workspace would run more requests at once than allowed: its host
-    gives half of a full share to another one, while all its requests
-    still run.
+    Guards against more concurrent requests than allowed: a host releases
+    half of a fully used share to another one while all its requests still
+    run.
     """
     fleet = Fleet()
     for _ in range(CONCURRENT):
@@ -284,7 +288,7 @@
 
 
 def test_home_region_keeps_a_share_through_an_outage():
-    """A host at home serves its workspace without the platform."""
+    """A host of the home region serves its workspace without the platform."""
     fleet = Fleet()
     fleet.advance(3)
     fleet.store.faults.down = True
@@ -293,7 +297,7 @@
 
 
 def test_fair_units_serve_modest_wishes_first():
-    """Who wants little gets it; the rest is split equally."""
+    """Small requests are met in full; the rest is split equally."""
     wishes = {"a": 1000, "b": 9000, "c": 9000}
     assert_that(fair_units(wishes, "a"), Equals(1000))
     assert_that(fair_units(wishes, "b"), Equals(4500))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, and what each host concludes from them."""
+"""Messages between hosts, and the state derived from them."""
 
 from types import SimpleNamespace
 
@@ -41,9 +41,9 @@
 async def test_neighbours_summary_is_not_another_data_centre(fleet):
     """A host never forwards to its own data centre.
 
-    A request would go round among neighbours: the host that speaks for
-    the data centre is heard by its neighbours as well, and they take the
-    centre for another one with room.
+    Guards against requests that are forwarded among neighbours: they
+    also receive the summary that a host reports for their own data
+    centre, and treat it as another data centre with free slots.
     """
     await fleet.until(fleet.connected)
     await fleet.pause(1.5)
@@ -54,11 +54,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_message_that_breaks_its_handler_does_not_stop_the_rest():
-    """One bad message costs itself and none of those behind it.
+    """A message that raises in its handler does not affect later ones.
 
-    An operator would see a host that misses every change for no visible
-    cause: a message breaks its handler, the reader stops, and as the
-    descriptor signals only the first message, nothing wakes it again.
+    Guards against a host that misses all changes without a visible cause:
+    the handler raises, the reader stops, and since the descriptor signals
+    only the first message, nothing triggers the reader again.
     """
     heard, broken = [], []
 
@@ -101,7 +101,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_unsigned_message_is_dropped():
-    """A message that was signed with another secret is not heard."""
+    """A message that was signed with another secret is dropped."""
     heard, refused = [], []
     sender = Bus(
         reactor,
@@ -152,10 +152,10 @@
 
 
 def test_work_of_a_lost_rack_moves_to_those_who_are_left():
-    """Servers of lost hosts are polled by others within seconds.
+    """Servers of failed hosts are polled by others within seconds.
 
-    An operator would see load reports of some servers stop for good: the
-    hosts that polled them are gone and nobody takes over.
+    Guards against load reports of some servers that stop permanently,
+    because the hosts that polled them failed and no other takes over.
     """
     hosts = [f"h{number}" for number in range(7)]
     servers = [f"s{number}" for number in range(45)]
@@ -178,8 +178,9 @@
 def test_late_message_does_not_bring_a_leaving_host_back():
     """An older message of the same incarnation changes nothing.
 
-    A caller would be sent to a host that is gone: the word that it
-    leaves is overtaken by an older heartbeat.
+    Guards against directing callers to a host that has shut down: the
+    message that announces its shutdown is overtaken by an older
+    heartbeat.
     """
     peers = make_peers("a", ["a", "b"])
     leaving = SimpleNamespace(
@@ -191,7 +192,7 @@
 
 
 def test_server_that_left_is_back_only_with_a_new_incarnation():
-    """The host list cannot undo a server's own word that it leaves."""
+    """The host list does not override a server that reported draining."""
     table = ServerTable("c")
     entry = ServerEntry(
         name="s",
@@ -226,10 +227,11 @@
 
 
 def test_late_load_report_does_not_replace_a_newer_one():
-    """A report that was overtaken brings no load back that has passed.
+    """A delayed report does not restore an outdated load.
 
-    Users would wait at a full server while others are idle: an old
-    report says that it is idle, and arrives after the one that says full.
+    Guards against requests that queue at a full server while others are
+    idle: an old report of an idle server arrives after the one that
+    reports it as full.
     """
     table = ServerTable("c")
     table.replace(
--- a/tests/test_plans.py
+++ b/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Properties of the plan of attempts, over random fleets and outcomes."""
+"""Properties of attempt plans, for random fleets and outcomes."""
 
 import random
 
@@ -36,7 +36,7 @@
 
 
 def make_table(draw_loads):
-    """Return a table of servers with the given loads."""
+    """Return a server table with the given loads."""
     table = ServerTable("dar-a")
     table.replace(
         ServerEntry(
@@ -65,7 +65,7 @@
 
 
 def make_centres(spare):
-    """Return summaries of the other regions."""
+    """Return the summaries of the other regions."""
     centres = CentreTable("dar")
     for region, load in zip(REGIONS[1:], spare, strict=True):
         centres.apply_summary(
@@ -92,7 +92,7 @@
     attempts=st.integers(1, 3),
     policy=st.sampled_from(sorted(POLICIES)),
 )
-def test_plan_keeps_its_promises(
+def test_plan_respects_residency_attempts_and_outcomes(
     loads,
     spare,
     residency,
@@ -104,11 +104,11 @@
     attempts,
     policy,
 ):
-    """No plan leaves its residency, its budget or its word.
+    """A plan respects residency, attempt limit and the outcomes so far.
 
-    A user would see a request served abroad, run twice, or called 'not
-    run' although an attempt may have run: some mix of outcomes over
-    servers, regions and fallbacks led past one of the checks.
+    Guards against requests that are served outside their residency, run
+    twice, or reported as not run although an attempt may have run, for
+    any combination of outcomes over servers, regions and fallbacks.
     """
     configuration = Configuration(
         regions={region: Region() for region in REGIONS},
@@ -169,9 +169,9 @@
 def test_receiver_checks_path_and_residency_itself(path, residency, permitted):
     """A host serves a forwarded request only if both sides permit it.
 
-    A user's data would be served abroad, or its request would circle:
-    the sender acts on an older configuration, or two hosts each hold the
-    other for less loaded.
+    Guards against requests that are served outside their residency or
+    forwarded in a loop. This occurs when the sender has an older
+    configuration, or when two hosts each consider the other less loaded.
     """
     request = Request(
         id="r",
@@ -189,10 +189,11 @@
 
 
 def test_request_that_would_come_too_late_is_refused_at_once():
-    """A queue longer than the deadline refuses, and an empty one admits.
+    """A request is refused if the queue is longer than its deadline.
 
-    A user would see nothing answered in time under overload: each
-    request waits in a queue until its deadline is over, and runs then.
+    With an empty queue it is admitted, however slow the server was.
+    Guards against overload in which no response is in time, because each
+    request waits in a queue until its deadline has passed and runs then.
     """
     table = make_table([400])
     server = table.servers["s0"]
@@ -230,10 +231,10 @@
 
 
 def test_retries_stay_a_share_of_the_traffic():
-    """When all attempts fail, the load grows by a fifth and not threefold.
+    """If all attempts fail, the load grows by a fifth and not threefold.
 
-    A user would see an outage that does not end: each failed request is
-    sent three times, and the servers drown in the repetitions.
+    Guards against an outage that does not end because each failed request
+    is sent three times and the retries overload the servers.
     """
     budget = RetryBudget()
     retries = 0
--- a/tests/test_tokenlimits.py
+++ b/tests/test_tokenlimits.py
@@ -1,4 +1,4 @@
-"""Limits in tokens over all hosts: what passes, and what must not."""
+"""Token limits over all hosts: admitted and refused requests."""
 
 import pytest
 from hypothesis import Phase, given, settings
@@ -26,18 +26,18 @@
 WINDOW = 8.0
 TOLERATED = (LIMIT.rate * WINDOW + LIMIT.burst) * (1 + ALLOWANCE.overage)
 BOUND = TOLERATED + ALLOWANCE.slack
-"""Tokens that may pass in any window, over all hosts."""
+"""Maximum number of tokens admitted in any window, over all hosts."""
 
 PLAIN = TokenLimit(rate=1000.0, burst=1000.0)
 
 
 def counting(regions=1, weight=lambda: 1.0):
-    """Return limits without tolerance."""
+    """Return token limits without tolerance."""
     return TokenLimits(regions, Allowance(), weight)
 
 
 def test_a_host_that_starts_gives_no_burst():
-    """All hosts start together, and a workspace gets a burst at each."""
+    """Guards against a burst on each host when all hosts start together."""
     limits = counting()
     refused = limits.try_take("a", PLAIN, 500, 0.0, "r1")
     assert_that(refused.seconds, Equals(0.5))
@@ -45,7 +45,7 @@
 
 
 def test_a_request_larger_than_the_bucket_passes_and_leaves_a_debt():
-    """The largest requests of a small workspace are refused for ever."""
+    """Guards against refusing the largest requests of a workspace forever."""
     limits = counting()
     limits.try_take("a", PLAIN, 1, 0.0, "r0")
     assert_that(limits.try_take("a", PLAIN, 5000, 2.0, "r1"), Is(NOTHING))
@@ -54,9 +54,10 @@
 
 
 def test_callers_far_above_a_limit_are_not_told_to_come_back_at_once():
-    """Thousands come back within 0.1 s, and are refused a second time.
+    """Guards against thousands of retries within 0.1 s that all fail.
 
-    The time told was that for one request alone, as if nobody else waited.
+    This occurs if the retry-after time is computed for one request alone,
+    without the other waiting callers.
     """
     limits = counting()
     for number in range(100):
@@ -65,7 +66,7 @@
 
 
 def test_what_has_not_run_is_given_back_once():
-    """A request that a full server rejected is counted, or counted twice."""
+    """Guards against charging a rejected request or refunding it twice."""
     limits = counting()
     limits.try_take("a", PLAIN, 1, 0.0, "r0")
     limits.try_take("a", PLAIN, 1000, 2.0, "r1")
@@ -75,7 +76,7 @@
 
 
 def test_what_is_handed_over_is_there_once():
-    """Tokens are used in two regions, as an answer is doubled or late."""
+    """Guards against tokens used twice after a duplicate or late transfer."""
     sender, requester = counting(regions=2), counting(regions=2)
     for limits in (sender, requester):
         limits.try_take("a", PLAIN, 1, 0.0, "r0")
@@ -92,7 +93,7 @@
 
 
 def test_a_lowered_limit_binds_a_bucket_that_was_full():
-    """A workspace gets its old burst long after its limit was lowered."""
+    """Guards against the old burst long after a limit was lowered."""
     limits = counting()
     limits.try_take("a", PLAIN, 1, 0.0, "r0")
     limits.refill_all(lambda _: PLAIN, 5.0)
@@ -103,7 +104,7 @@
 
 
 def test_a_region_keeps_what_its_own_callers_need():
-    """A region gives tokens away, and refuses its own callers."""
+    """Guards against transfers that make a region refuse its own callers."""
     limits = counting(regions=2)
     limits.try_take("a", PLAIN, 1, 0.0, "r0")
     limits.try_take("a", PLAIN, 100, 2.0, "r1")
@@ -127,11 +128,11 @@
 def test_a_workspace_gets_no_more_than_its_limit_whatever_fails(
     faults, times, hot
 ):
-    """A workspace that asks for many times its limit gets it in each part.
+    """Guards against the full limit in each partition of the network.
 
-    Regions are cut from each other, the hosts that count die, are
-    suspended and wake, or answer too late, so that several count at once.
-    Over all of them no more may pass.
+    Regions are partitioned, and the hosts that enforce the limit fail, are
+    suspended and resume, or respond too late, so that several enforce it
+    at once. The sum over all of them must stay within the bound.
     """
     network = Network(6)
     hosts = list(network.hosts.values())
@@ -156,10 +157,10 @@
 
 
 def test_one_region_gets_the_whole_limit_if_the_others_need_none():
-    """Callers of one region are refused two thirds of what is theirs.
+    """Guards against refusing two thirds of the limit in one region.
 
-    All of a workspace's callers are in one region, as its working hours
-    are. What they ask for stays below the limit.
+    All callers of the workspace are in one region, as during its working
+    hours, and their demand is below the limit.
     """
     network = Network(6)
     network.run(4)
@@ -172,7 +173,10 @@
 
 
 def test_callers_who_move_find_their_share_in_a_second():
-    """Callers move to another region, where their limit is not."""
+    """Guards against refusals after callers move to another region.
+
+    The tokens of the limit are held by the former region at that time.
+    """
     network = Network(6)
     network.run(4)
     moves_at = network.clock.seconds() + 6
@@ -190,10 +194,10 @@
 
 @pytest.mark.parametrize("part", [0.3, 0.45])
 def test_a_cut_region_serves_its_part_and_is_whole_soon_after(part):
-    """A region that is cut off refuses all, also once it is back.
+    """Guards against a partitioned region that refuses all requests.
 
-    In the cut each side has a third and two thirds of the limit for sure.
-    Two seconds after its end any region can have all that it needs.
+    During the partition the sides have one and two thirds of the limit.
+    Two seconds after its end any region can use all that it needs.
     """
     network = Network(6)
     network.run(4)
@@ -214,8 +218,8 @@
     assert_that(askers.served(since, since + 4), GreaterThan(0.97))
 
 
-def test_the_end_of_the_host_that_counts_costs_little():
-    """A workspace below its limit is refused, as its count begins anew."""
+def test_failure_of_the_placing_host_causes_few_refusals():
+    """Guards against refusals below the limit when its bucket is new."""
     network = Network(6)
     network.run(4)
     askers = Askers(network, lambda region, now: LIMIT.rate * 0.2, cost=2000)
@@ -226,8 +230,8 @@
     assert_that(askers.served(since, since + 5), GreaterThan(0.95))
 
 
-def test_a_clock_stands_still_without_harm():
-    """Two requests at the same moment are both counted."""
+def test_requests_at_the_same_time_are_all_counted():
+    """Requests are all counted if the clock does not advance."""
     clock = task.Clock()
     limits = counting()
     limits.try_take("a", PLAIN, 1, clock.seconds(), "r0")
@@ -238,16 +242,17 @@
 
 
 OWED = 0.95
-"""Part of what stays below a limit that is to pass, by the second try."""
+"""Fraction of demand below the limit that must be admitted by the second
+attempt."""
 
 
 @pytest.mark.parametrize("pattern", PATTERNS[:4], ids=lambda one: one.name)
 def test_a_workspace_below_its_limit_is_served_wherever_it_asks(pattern):
-    """Callers are refused below their limit, as it lies in other regions.
+    """Guards against refusals while other regions hold the tokens.
 
-    Hours of work come one after the other, or all callers move at once.
-    With an equal share of each region, and no transfers, 2 to 4 in 10
-    tokens are refused in all patterns but the even one.
+    Working hours of the regions follow each other, or all callers move at
+    once. With equal shares and without transfers, 2 to 4 in 10 tokens are
+    refused in all patterns but the even one.
     """
     load = LimitLoad(pattern, WAYS[2])
     assert_that(load.run(), GreaterThan(OWED))
@@ -255,7 +260,7 @@
 
 @pytest.mark.parametrize("pattern", PATTERNS, ids=lambda one: one.name)
 def test_patterns_keep_to_the_bound(pattern):
-    """Tokens that are handed over to and fro add up to more than all."""
+    """Guards against transfers that add up to more than the limit."""
     load = LimitLoad(pattern, WAYS[2])
     load.run()
     rate = load.rate
@@ -264,10 +269,11 @@
 
 
 def test_hosts_that_count_beside_each_other_share_one_part():
-    """The first host answers half too late, and a region counts twice.
+    """Guards against a region that uses its share twice.
 
-    Each host then asks the first, the second and nobody in turn. The parts
-    that all of them use add up to one.
+    The first host responds too late to half of the requests, so each host
+    queries the first, the second and no host in turn. The fractions that
+    all of them use must add up to one.
     """
     network = Network(6)
     network.run(3)
