--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -331,7 +331,7 @@
         fresh = ClaimIndex()
         began = time.process_time()
         for record in records:
-            fresh.fold(record)
+            fresh.apply(record)
         folding.append((count, (time.process_time() - began) * 1000))
         sizes.append(
             (count, len(encode_segment(Segment(records=records))) / 1024)
--- a/src/hyssopspring/core/accepted.py
+++ b/src/hyssopspring/core/accepted.py
@@ -128,7 +128,7 @@
     only if its generation is greater than the current one.
 
     Args:
-        applied: Called with each `Accepted` that is applied.
+        on_applied: Called with each `Accepted` that is applied.
     """
 
     def __init__(self, on_applied=NOTHING):
--- a/src/hyssopspring/core/budgets.py
+++ b/src/hyssopspring/core/budgets.py
@@ -17,8 +17,8 @@
     individual requests.
 
     Args:
-        share: Retries deposited by one first attempt.
-        reserve: Maximum number of retries that can be accumulated.
+        ratio: Retries deposited by one first attempt.
+        max_balance: Maximum number of retries that can be accumulated.
     """
 
     def __init__(self, *, ratio=RETRY_RATIO, max_balance=MAX_RETRY_BALANCE):
--- a/src/hyssopspring/core/claims.py
+++ b/src/hyssopspring/core/claims.py
@@ -101,7 +101,7 @@
     """State of all keys of a shard, computed by replaying its log.
 
     Attributes:
-        holdings: `Claim` by digest.
+        claims: `Claim` by digest of the key.
         number: Number of the segment that was applied last.
         count: Number of records of that segment that are applied.
         revision: Revision of the open segment when it was applied last.
