--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -12,7 +12,7 @@
 
 from twisted.internet import defer, reactor, task
 
-from hyssopspring.config.acceptance import Judge, RawFile
+from hyssopspring.config.validation import FolderValidator, RawFile
 from hyssopspring.core.accepted import (
     Accepted,
     decode_accepted,
@@ -272,7 +272,9 @@
     sizes, judging, decoding, memory = [], [], [], []
     for count in (10, 100, 330, 1000):
         folder = make_files(count)
-        accepted = Judge(Accepted()).judge(folder, count + 2).accepted
+        accepted = (
+            FolderValidator(Accepted()).validate(folder, count + 2).accepted
+        )
         data = encode_accepted(accepted)
         sizes.append((count, len(data) / 1024))
         changed = dict(folder)
@@ -282,9 +284,9 @@
             (
                 count,
                 timed(
-                    lambda a=accepted, c=changed, n=count: Judge(a).judge(
-                        c, n + 9
-                    ),
+                    lambda a=accepted, c=changed, n=count: FolderValidator(
+                        a
+                    ).validate(c, n + 9),
                     3,
                 )
                 / 1000,
--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer, task
 
-from .config.accepting import EVALUATE_EVERY, Acceptor
+from .config.reconciler import RECONCILE_INTERVAL_SECONDS, Reconciler
 from .core.events import EventKind
 from .core.sentinels import NOTHING
 from .logs import start_logging
@@ -17,9 +17,9 @@
 from .settings import AdminSettings, settings_command, split_address
 from .stores import etcd  # noqa: F401 - registers itself
 from .stores.hosts import HostListClient
-from .stores.keyvalues import find_key_value
+from .stores.keyvalues import find_client
 
-LONGEST_FILE = 256 * 1024
+MAX_FILE_CHARACTERS = 256 * 1024
 
 
 class Admin:
@@ -38,10 +38,10 @@
         self.timeline = make_timeline(settings, wall)
         self.agent = make_agent(reactor)
         scheme, _, address = settings.platform.partition("+")
-        self.store = find_key_value(scheme)(address, self.agent, reactor)
+        self.store = find_client(scheme)(address, self.agent, reactor)
         hosts = HostListClient(settings.host_list, self.agent, reactor)
         pages = PageReader(self.agent, reactor, Signer(settings.peer_secret))
-        self.acceptor = Acceptor(
+        self.reconciler = Reconciler(
             self.store,
             hosts,
             pages,
@@ -50,14 +50,14 @@
             make_rng(seed),
         )
         self.api = AdminApi(
-            self.acceptor,
+            self.reconciler,
             hosts,
             pages,
             reactor,
             self.timeline,
             settings.tokens,
         )
-        self.loop = task.LoopingCall(self.acceptor.changed)
+        self.loop = task.LoopingCall(self.reconciler.schedule)
         self.loop.clock = reactor
         self.port = NOTHING
 
@@ -66,12 +66,14 @@
         router = Router(self.note_failure)
         self.api.add_routes(router)
         site = LimitedSite(
-            router.resource(), longest=LONGEST_FILE, reactor=self.reactor
+            router.resource(),
+            longest=MAX_FILE_CHARACTERS,
+            reactor=self.reactor,
         )
         host, port = split_address(self.settings.listen)
         self.port = self.reactor.listenTCP(port, site, interface=host)
-        self.acceptor.start()
-        self.loop.start(EVALUATE_EVERY)
+        self.reconciler.start()
+        self.loop.start(RECONCILE_INTERVAL_SECONDS)
         self.timeline.note(EventKind.STARTED)
 
     def note_failure(self, reason):
@@ -81,7 +83,7 @@
     async def stop(self):
         """Stop; what is half done, another administration finishes."""
         self.loop.stop()
-        self.acceptor.stop()
+        self.reconciler.stop()
         await self.port.stopListening()
         await self.agent.pool.closeCachedConnections()
         self.timeline.note(EventKind.STOPPED)
--- a/src/hyssopspring/config/checks.py
+++ b/src/hyssopspring/config/checks.py
@@ -41,7 +41,7 @@
 
 
 @check
-def known_distances(configuration, merged):
+def known_round_trips(configuration, merged):
     """A round trip must be to a declared region."""
     for name, region in configuration.regions.items():
         for other in region.round_trip_ms:
@@ -51,7 +51,7 @@
 
 
 @check
-def possible_residency(configuration, merged):
+def nonempty_residency(configuration, merged):
     """What all files permit together must not be empty."""
     for kind, field in (
         ("workspaces", "residency"),
@@ -86,11 +86,11 @@
             for fallback in offer.fallback:
                 if fallback not in offers:
                     yield Problem(path, f"no such fallback {fallback!r}")
-            if leads_back(name, offers):
+            if is_in_cycle(name, offers):
                 yield Problem(path, "the fallbacks form a cycle")
 
 
-def leads_back(start, offers):
+def is_in_cycle(start, offers):
     """Whether following fallbacks from *start* comes back to it."""
     seen = set()
     waiting = list(offers[start].fallback)
--- a/src/hyssopspring/config/merging.py
+++ b/src/hyssopspring/config/merging.py
@@ -7,7 +7,7 @@
 from ..core.configuration import Configuration
 from ..core.sentinels import NOTHING
 
-RULES = {}
+MERGE_RULES = {}
 
 FIELD_RULES = {
     "residency": "intersection",
@@ -27,7 +27,7 @@
     """
 
     def register(combine):
-        RULES[name] = combine
+        MERGE_RULES[name] = combine
         return combine
 
     return register
@@ -116,7 +116,7 @@
         merged.leaves.setdefault(path, NOTHING)
         return
     if path in merged.leaves:
-        combine = RULES[rule_name(path)]
+        combine = MERGE_RULES[rule_name(path)]
         value = combine(merged.leaves[path], value)
     merged.leaves[path] = value
 
@@ -128,7 +128,7 @@
     return FIELD_RULES.get(path[-1], "later")
 
 
-def build(merged, generation):
+def build_configuration(merged, generation):
     """Return the `Configuration` of merged leaves.
 
     Raises:
@@ -136,12 +136,12 @@
     """
     nested = {}
     for path, value in merged.leaves.items():
-        place = nested
+        node = nested
         for key in path[:-1]:
-            place = place.setdefault(key, {})
+            node = node.setdefault(key, {})
         if value is NOTHING:
-            place.setdefault(path[-1], {})
+            node.setdefault(path[-1], {})
         else:
-            place[path[-1]] = value
+            node[path[-1]] = value
     nested["generation"] = generation
     return msgspec.convert(nested, Configuration)
--- a/src/hyssopspring/config/accepting.py
+++ b/src/hyssopspring/config/reconciler.py
@@ -17,31 +17,31 @@
 from ..core.sentinels import NOTHING
 from ..core.trust import RESTRICTION_HOLD
 from ..stores.keyvalues import Applied
-from .acceptance import (
-    Judge,
+from .validation import (
+    FolderValidator,
     RawFile,
-    confirm,
+    add_data_centres,
+    apply_proposal,
     forget_data_centre,
-    note_data_centres,
-    withdraw,
+    withdraw_proposal,
 )
 
-CONFIRM_WITHIN = 1.2
-CONFIRM_POLL = 0.1
-RETRY_PAUSE = 0.05
-EVALUATE_EVERY = 2.0
-MOST_ROUNDS = 20
+CONFIRM_TIMEOUT_SECONDS = 1.2
+CONFIRM_POLL_SECONDS = 0.1
+RETRY_PAUSE_SECONDS = 0.05
+RECONCILE_INTERVAL_SECONDS = 2.0
+MAX_ROUNDS = 20
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoredAccepted:
     """The accepted configuration with its revision in the service."""
 
     accepted: Accepted
     revision: int
 
 
-class Acceptor:
+class Reconciler:
     """Judge the folder whenever it changes.
 
     Any number of these may run. Each change of the accepted value is one
@@ -65,55 +65,55 @@
         self.timeline = timeline
         self.rng = rng
         self.running = False
-        self.again = False
+        self.rerun_requested = False
         self.watch = NOTHING
 
     def start(self):
         """Watch the folder."""
-        self.watch = self.store.watch(FOLDER_PREFIX, self.changed)
+        self.watch = self.store.watch(FOLDER_PREFIX, self.schedule)
 
     def stop(self):
         """End the watch."""
         if self.watch is not NOTHING:
             self.watch.stop()
 
-    def changed(self):
+    def schedule(self):
         """Judge the folder soon, one judgement at a time."""
         if self.running:
-            self.again = True
+            self.rerun_requested = True
             return
         self.running = True
-        defer.ensureDeferred(self.evaluate()).addBoth(self.finished)
+        defer.ensureDeferred(self.reconcile()).addBoth(self.on_finished)
 
-    def finished(self, result):
+    def on_finished(self, result):
         """Judge once more if the folder changed meanwhile."""
         self.running = False
-        if self.again:
-            self.again = False
-            self.changed()
+        if self.rerun_requested:
+            self.rerun_requested = False
+            self.schedule()
         return result
 
-    async def evaluate(self):
+    async def reconcile(self):
         """Judge until folder and accepted configuration agree.
 
         Returns:
             Whether they agree, or the platform did not answer in time.
         """
-        for _ in range(MOST_ROUNDS):
+        for _ in range(MAX_ROUNDS):
             try:
-                if await self.round():
+                if await self.reconcile_once():
                     return True
             except KeyValueError:
                 return False
-            pause = RETRY_PAUSE * (1 + self.rng.random())
+            pause = RETRY_PAUSE_SECONDS * (1 + self.rng.random())
             await task.deferLater(self.clock, pause)
         return False
 
-    async def round(self):
+    async def reconcile_once(self):
         """Make one step; return whether nothing is left to do."""
-        held = await self.read()
-        if held.accepted.proposal is not None:
-            await self.settle(held)
+        stored = await self.read()
+        if stored.accepted.proposal is not None:
+            await self.resolve_proposal(stored)
             return False
         listing = await self.store.list(FOLDER_PREFIX)
         folder = {
@@ -122,56 +122,58 @@
             )
             for entry in listing.entries
         }
-        judged = Judge(held.accepted).judge(folder, listing.revision)
-        if judged.accepted is NOTHING:
-            return not await self.note_data_centres(held)
-        if await self.swap(held, judged.accepted):
-            self.note_verdicts(judged.verdicts)
+        validated = FolderValidator(stored.accepted).validate(
+            folder, listing.revision
+        )
+        if validated.accepted is NOTHING:
+            return not await self.record_data_centres(stored)
+        if await self.swap(stored, validated.accepted):
+            self.log_verdicts(validated.file_states)
         return False
 
-    async def note_data_centres(self, held):
+    async def record_data_centres(self, stored):
         """Remember data centres; return whether any was new."""
         try:
             listed = await self.hosts.read()
         except PlatformError:
             return False
         centres = {row.data_centre: row.region for row in listed.gateways}
-        accepted = note_data_centres(held.accepted, centres)
+        accepted = add_data_centres(stored.accepted, centres)
         if accepted is NOTHING:
             return False
-        await self.swap(held, accepted)
+        await self.swap(stored, accepted)
         return True
 
     async def forget_data_centre(self, name):
         """Take a data centre off; return whether it was known."""
-        for _ in range(MOST_ROUNDS):
-            held = await self.read()
-            if name not in held.accepted.data_centres:
+        for _ in range(MAX_ROUNDS):
+            stored = await self.read()
+            if name not in stored.accepted.data_centres:
                 return False
-            accepted = forget_data_centre(held.accepted, name)
-            if await self.swap(held, accepted):
+            accepted = forget_data_centre(stored.accepted, name)
+            if await self.swap(stored, accepted):
                 return True
         raise KeyValueError("the data centre could not be taken off")
 
     async def read(self):
-        """Return what is `Held`.
+        """Return what is `StoredAccepted`.
 
         Raises:
             KeyValueError: The platform did not answer.
         """
         entry = await self.store.get(ACCEPTED_KEY)
         if entry is NOTHING:
-            return Held(Accepted(), 0)
-        return Held(decode_accepted(entry.value), entry.revision)
+            return StoredAccepted(Accepted(), 0)
+        return StoredAccepted(decode_accepted(entry.value), entry.revision)
 
-    async def swap(self, held, accepted):
+    async def swap(self, stored, accepted):
         """Replace what is held; return whether it surely took effect."""
         result = await self.store.swap(
-            ACCEPTED_KEY, encode_accepted(accepted), held.revision
+            ACCEPTED_KEY, encode_accepted(accepted), stored.revision
         )
         return isinstance(result, Applied)
 
-    def note_verdicts(self, verdicts):
+    def log_verdicts(self, verdicts):
         """Put the verdicts on the time line."""
         for name, state in verdicts.items():
             if state.verdict is Verdict.REFUSED:
@@ -188,7 +190,7 @@
                     generation=state.generation,
                 )
 
-    async def settle(self, held):
+    async def resolve_proposal(self, stored):
         """Wait for the hosts that lose a right, then accept or refuse.
 
         A host that has not heard of a restriction goes on using the
@@ -198,27 +200,29 @@
         host that is cut off, and therefore not listed, takes to notice
         that itself.
         """
-        give_up = self.clock.seconds() + CONFIRM_WITHIN
+        deadline = self.clock.seconds() + CONFIRM_TIMEOUT_SECONDS
         since = NOTHING
         while True:
-            unheard = await self.unheard(held.accepted)
+            unconfirmed = await self.find_unconfirmed(stored.accepted)
             now = self.clock.seconds()
-            if unheard:
+            if unconfirmed:
                 since = NOTHING
             elif since is NOTHING:
                 since = now
             if since is not NOTHING and now - since >= RESTRICTION_HOLD:
-                await self.swap(held, confirm(held.accepted))
+                await self.swap(stored, apply_proposal(stored.accepted))
                 return
-            if unheard and now >= give_up:
+            if unconfirmed and now >= deadline:
                 self.timeline.note(
-                    EventKind.CONFIG_REFUSED, unheard=",".join(unheard)
+                    EventKind.CONFIG_REFUSED, unheard=",".join(unconfirmed)
+                )
+                await self.swap(
+                    stored, withdraw_proposal(stored.accepted, unconfirmed)
                 )
-                await self.swap(held, withdraw(held.accepted, unheard))
                 return
-            await task.deferLater(self.clock, CONFIRM_POLL)
+            await task.deferLater(self.clock, CONFIRM_POLL_SECONDS)
 
-    async def unheard(self, accepted):
+    async def find_unconfirmed(self, accepted):
         """Return the affected hosts that do not enforce *accepted* yet.
 
         The host list drops a data centre that is cut off, though its
@@ -237,18 +241,19 @@
         statuses = await gather(
             self.pages.status(row.forward) for row in affected
         )
-        unheard = [
+        unconfirmed = [
             row.name
             for row, status in zip(affected, statuses, strict=True)
             if status is NOTHING or status.generation < accepted.generation
         ]
-        heard = {row.data_centre for row in affected}
+        reporting_centres = {row.data_centre for row in affected}
         missing = [
             f"data centre {name}"
             for name, region in accepted.data_centres.items()
-            if region in accepted.proposal.affected and name not in heard
+            if region in accepted.proposal.affected
+            and name not in reporting_centres
         ]
-        return unheard + missing
+        return unconfirmed + missing
 
 
 async def gather(coroutines):
--- a/src/hyssopspring/config/schema.py
+++ b/src/hyssopspring/config/schema.py
@@ -8,73 +8,73 @@
 
 from ..core.sentinels import NOTHING
 
-NAME = r"^[a-z0-9][a-z0-9._-]{0,62}$"
-Name = Annotated[str, Field(pattern=NAME)]
+NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]{0,62}$"
+Name = Annotated[str, Field(pattern=NAME_PATTERN)]
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
-Share = Annotated[float, Field(ge=0, le=1)]
-LONGEST_FILE = 65_536
-LONGEST_DEADLINE_MS = 86_400_000
-PARSED_FILES = 4096
+Fraction = Annotated[float, Field(ge=0, le=1)]
+MAX_FILE_CHARACTERS = 65_536
+MAX_DEADLINE_MS = 86_400_000
+PARSE_CACHE_SIZE = 4096
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
-class Part(BaseModel):
+class StrictSchema(BaseModel):
     """Base of all parts: unknown fields are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
 
-class LimitsPart(Part):
+class LimitsSchema(StrictSchema):
     """Limits of a workspace; the least over all files holds."""
 
     requests_per_second: float | None = Field(None, gt=0)
     concurrent: int | None = Field(None, gt=0)
 
 
-class WeightsPart(Part):
+class WeightsSchema(StrictSchema):
     """What a workspace minds; a later file wins."""
 
-    tail: Share | None = None
-    cost: Share | None = None
-    away: Share | None = None
+    tail: Fraction | None = None
+    cost: Fraction | None = None
+    away: Fraction | None = None
 
 
-class WorkspacePart(Part):
+class WorkspaceSchema(StrictSchema):
     """What a file says of one workspace."""
 
     home: Name | None = None
     residency: list[Name] | None = Field(None, min_length=1)
     keys: dict[Name, Digest] | None = None
-    limits: LimitsPart | None = None
-    weights: WeightsPart | None = None
+    limits: LimitsSchema | None = None
+    weights: WeightsSchema | None = None
     repeatable: bool | None = None
-    deadline_ms: int | None = Field(None, gt=0, le=LONGEST_DEADLINE_MS)
+    deadline_ms: int | None = Field(None, gt=0, le=MAX_DEADLINE_MS)
     attempts: int | None = Field(None, ge=1, le=3)
 
 
-class OfferPart(Part):
+class OfferSchema(StrictSchema):
     """What a file says of one model or service."""
 
     regions: list[Name] | None = Field(None, min_length=1)
     repeatable: bool | None = None
-    deadline_ms: int | None = Field(None, gt=0, le=LONGEST_DEADLINE_MS)
+    deadline_ms: int | None = Field(None, gt=0, le=MAX_DEADLINE_MS)
     attempts: int | None = Field(None, ge=1, le=3)
     fallback: list[Name] | None = None
 
 
-class RegionPart(Part):
+class RegionSchema(StrictSchema):
     """What a file says of one region."""
 
     round_trip_ms: dict[Name, float] | None = None
 
 
-class FilePart(Part):
+class FileSchema(StrictSchema):
     """A whole file."""
 
-    regions: dict[Name, RegionPart | None] | None = None
-    workspaces: dict[Name, WorkspacePart | None] | None = None
-    models: dict[Name, OfferPart | None] | None = None
-    services: dict[Name, OfferPart | None] | None = None
+    regions: dict[Name, RegionSchema | None] | None = None
+    workspaces: dict[Name, WorkspaceSchema | None] | None = None
+    models: dict[Name, OfferSchema | None] | None = None
+    services: dict[Name, OfferSchema | None] | None = None
 
 
 class Problem(Exception):  # noqa: N818 - the operators' word for it
@@ -120,7 +120,7 @@
         return 0
 
 
-@functools.lru_cache(maxsize=PARSED_FILES)
+@functools.lru_cache(maxsize=PARSE_CACHE_SIZE)
 def parse_file(text):
     """Check one file by itself.
 
@@ -133,8 +133,8 @@
     Raises:
         Problem: The first thing that is wrong.
     """
-    if len(text) > LONGEST_FILE:
-        raise Problem((), f"longer than {LONGEST_FILE} characters")
+    if len(text) > MAX_FILE_CHARACTERS:
+        raise Problem((), f"longer than {MAX_FILE_CHARACTERS} characters")
     loader = LOADER(text)
     try:
         node = loader.get_single_node()
@@ -150,7 +150,7 @@
     if node is not None:
         collect_lines(node, (), lines)
     try:
-        part = FilePart.model_validate(values)
+        part = FileSchema.model_validate(values)
     except ValidationError as error:
         raise first_problem(error, lines) from None
     leaves = {}
--- a/src/hyssopspring/config/acceptance.py
+++ b/src/hyssopspring/config/validation.py
@@ -13,7 +13,7 @@
 )
 from ..core.sentinels import NOTHING
 from .checks import find_problems
-from .merging import build, merge
+from .merging import build_configuration, merge
 from .schema import ParsedFile, Problem, parse_file
 
 
@@ -26,19 +26,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class ValidationResult:
     """Outcome of judging the folder.
 
     Attributes:
         accepted: What to store, or `NOTHING` if nothing has changed.
-        verdicts: `FileState` of the files that were judged, by name.
+        file_states: `FileState` of the files that were judged, by name.
     """
 
     accepted: Accepted
-    verdicts: dict
+    file_states: dict
 
 
-class Judge:
+class FolderValidator:
     """Judge files one by one against all others.
 
     Args:
@@ -48,12 +48,12 @@
     def __init__(self, accepted):
         self.accepted = accepted
         self.generation = accepted.generation + 1
-        self.parsed = {}
+        self.parsed_files = {}
         for name, state in accepted.files.items():
             if state.content is not None:
-                self.parsed[name] = parse_file(state.content)
+                self.parsed_files[name] = parse_file(state.content)
 
-    def judge(self, folder, folder_revision):
+    def validate(self, folder, folder_revision):
         """Judge what has changed in the folder.
 
         Args:
@@ -61,25 +61,28 @@
             folder_revision: Revision at which it was read.
 
         Returns:
-            A `Judged`. Nothing changes when the folder was read before
+            A `ValidationResult`. Nothing changes when the folder was read
+            before
             what is already accepted: a service that answers from the
             past would else bring old contents back.
         """
         if folder_revision < self.accepted.folder_revision:
-            return Judged(NOTHING, {})
-        changed = self.changed(folder)
+            return ValidationResult(NOTHING, {})
+        changed = self.find_changed(folder)
         if not changed or self.accepted.proposal is not None:
-            return Judged(NOTHING, {})
-        states = self.judge_all(changed, folder)
+            return ValidationResult(NOTHING, {})
+        states = self.validate_files(changed, folder)
         files = {**self.accepted.files, **states}
         files = {
             name: state
             for name, state in files.items()
             if state.content is not None or name in folder
         }
-        return Judged(self.conclude(files, folder_revision), states)
+        return ValidationResult(
+            self.build_accepted(files, folder_revision), states
+        )
 
-    def changed(self, folder):
+    def find_changed(self, folder):
         """Return the names of files whose newest form is not judged."""
         names = []
         for name in sorted(set(folder) | set(self.accepted.files)):
@@ -90,7 +93,7 @@
                 names.append(name)
         return names
 
-    def judge_all(self, names, folder):
+    def validate_files(self, names, folder):
         """Judge changed files until no further one can be accepted.
 
         A file may need another that changed at the same moment, so all
@@ -103,43 +106,43 @@
         while waiting and progress:
             progress = False
             for name in list(waiting):
-                problem = self.attempt({name: folder.get(name)})
+                problem = self.try_apply({name: folder.get(name)})
                 problems[name] = problem
                 if problem is NOTHING:
-                    states[name] = self.accept(name, folder.get(name))
+                    states[name] = self.accepted_state(name, folder.get(name))
                     waiting.remove(name)
                     progress = True
         if len(waiting) > 1:
             together = {name: folder.get(name) for name in waiting}
-            if self.attempt(together) is NOTHING:
+            if self.try_apply(together) is NOTHING:
                 for name in waiting:
-                    states[name] = self.accept(name, folder.get(name))
+                    states[name] = self.accepted_state(name, folder.get(name))
                 waiting = []
         for name in waiting:
             raw = folder.get(name)
-            states[name] = self.refuse(name, raw, problems[name])
+            states[name] = self.refused_state(name, raw, problems[name])
         return states
 
-    def attempt(self, changes):
+    def try_apply(self, changes):
         """Try to take over *changes*; return a `Problem` or `NOTHING`."""
-        trial = dict(self.parsed)
+        trial = dict(self.parsed_files)
         try:
             for name, raw in changes.items():
                 trial.pop(name, None)
                 if raw is not None:
                     trial[name] = parse_file(raw.content)
-            problem = self.whole_problem(trial, changes)
+            problem = self.find_merged_problem(trial, changes)
         except Problem as found:
             problem = found
         if problem is NOTHING:
-            self.parsed = trial
+            self.parsed_files = trial
         return problem
 
-    def whole_problem(self, trial, changes):
+    def find_merged_problem(self, trial, changes):
         """Return the first problem of the merged whole, or `NOTHING`."""
         merged = merge(trial)
         try:
-            configuration = build(merged, self.generation)
+            configuration = build_configuration(merged, self.generation)
         except msgspec.ValidationError as error:
             return Problem((), f"incomplete: {error}")
         for problem in find_problems(configuration, merged):
@@ -150,7 +153,7 @@
             return Problem(problem.path, problem.reason, max(lines))
         return NOTHING
 
-    def accept(self, name, raw):
+    def accepted_state(self, name, raw):
         """Return the state of a file whose newest form is in force."""
         return FileState(
             revision=raw.revision if raw else 0,
@@ -159,7 +162,7 @@
             content=raw.content if raw else None,
         )
 
-    def refuse(self, name, raw, problem):
+    def refused_state(self, name, raw, problem):
         """Return the state of a file whose newest form is refused."""
         known = self.accepted.files.get(name)
         return FileState(
@@ -171,9 +174,11 @@
             reason=problem.text,
         )
 
-    def conclude(self, files, folder_revision):
+    def build_accepted(self, files, folder_revision):
         """Return the next `Accepted`, with a proposal if rights go."""
-        configuration = build(merge(self.parsed), self.generation)
+        configuration = build_configuration(
+            merge(self.parsed_files), self.generation
+        )
         in_force = self.accepted.configuration
         affected = lost_rights(in_force, configuration)
         if not affected:
@@ -195,7 +200,7 @@
         )
 
 
-def confirm(accepted):
+def apply_proposal(accepted):
     """Return what follows when all hosts have confirmed the proposal."""
     proposal = accepted.proposal
     generation = accepted.generation + 1
@@ -210,7 +215,7 @@
     )
 
 
-def note_data_centres(accepted, listed):
+def add_data_centres(accepted, listed):
     """Return what follows when the host list shows new data centres.
 
     Args:
@@ -235,17 +240,17 @@
     return replace(accepted, generation=generation, data_centres=known)
 
 
-def withdraw(accepted, unheard):
+def withdraw_proposal(accepted, unconfirmed):
     """Return what follows when a host did not confirm in time.
 
     Args:
         accepted: The `Accepted` with the proposal.
-        unheard: Names of the hosts that did not confirm.
+        unconfirmed: Names of the hosts that did not confirm.
     """
     proposal = accepted.proposal
     generation = accepted.generation + 1
     reason = "takes a right from hosts that did not confirm: "
-    reason += ", ".join(sorted(unheard))
+    reason += ", ".join(sorted(unconfirmed))
     files = dict(accepted.files)
     for name, state in proposal.files.items():
         known = accepted.files.get(name)
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -373,7 +373,9 @@
             peer=member.name,
             predicted=round(away.predicted, 3),
         )
-        headers = self.state.codec.passed_on(self.request.requestHeaders)
+        headers = self.state.codec.forwarded_headers(
+            self.request.requestHeaders
+        )
         headers.setRawHeaders(ORDER_HEADER, [encode_order(self.order())])
         self.attempt = Attempt(
             self.state.connections,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -16,7 +16,7 @@
 from ..core.exceptions import EXIT_BAD_SETTINGS, SettingsError
 from ..core.tokenlimits import Allowance, TokenLimits
 from ..platform import headers, layout
-from ..platform.pages import DirectoryPages
+from ..platform.directory import DirectoryHandler
 from ..platform.settings import PATH_VARIABLE, read_settings
 from ..platform.store import PlatformStore
 from ..traffic.crashes import Crashes
@@ -278,7 +278,7 @@
         )
         self.callers = CallerApi(self.state, self.views)
         self.relay = RelayApi(self.state, self.following.copies.snapshot)
-        self.pages = DirectoryPages(self.hosts_for, self.is_ready)
+        self.pages = DirectoryHandler(self.hosts_for, self.is_ready)
 
     def service(self, name):
         """Return the `Service` of *name* in the configuration in force."""
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -33,9 +33,9 @@
 from .observing import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
 from .stores import etcd  # noqa: F401 - registers itself
-from .stores.following import ConfigFollower, HostFollower
 from .stores.hosts import HostListClient
-from .stores.keyvalues import find_key_value
+from .stores.keyvalues import find_client
+from .stores.sync import ConfigSync, HostListSync
 
 STALL_EVERY = 0.1
 STALL_REPORT = 0.25
@@ -103,17 +103,19 @@
     def wire_platform(self):
         """Make the clients of the platform."""
         scheme, _, address = self.settings.platform.partition("+")
-        client = find_key_value(scheme)
+        client = find_client(scheme)
         self.store = client(address, self.pooled, self.reactor)
         self.hosts = HostListClient(
             self.settings.host_list, self.pooled, self.reactor
         )
         self.pages = PageReader(self.pooled, self.reactor, self.signer)
-        self.config = ConfigFollower(
+        self.config = ConfigSync(
             self.state, self.peers, self.store, self.pages
         )
         seeds = [seed_entry(peer) for peer in self.settings.peers]
-        self.follower = HostFollower(self.state, self.peers, self.hosts, seeds)
+        self.host_list_sync = HostListSync(
+            self.state, self.peers, self.hosts, seeds
+        )
 
     def wire_serving(self):
         """Make what serves callers and other hosts."""
@@ -169,7 +171,7 @@
             self.drain,
             incarnation=self.incarnation,
             forward_address=self.settings.forward,
-            newer=self.config.newer,
+            newer=self.config.on_newer_generation,
         )
         self.state.keeper.applied = lambda _: self.membership.announce()
         self.state.trust.neighbours = lambda now: self.peers.neighbours_agree(
@@ -235,7 +237,7 @@
 
     def tick(self):
         """Do the periodic work of a heartbeat interval."""
-        self.follower.tick()
+        self.host_list_sync.tick()
         self.config.tick()
         self.membership.tick()
         self.state.crashes.tick()
--- a/src/hyssopspring/net/administration.py
+++ b/src/hyssopspring/net/administration.py
@@ -6,10 +6,10 @@
 import msgspec
 from twisted.internet import task
 
-from ..config.acceptance import Judge, RawFile
-from ..config.accepting import gather
 from ..config.merging import merge
+from ..config.reconciler import gather
 from ..config.schema import parse_file
+from ..config.validation import FolderValidator, RawFile
 from ..core.accepted import FOLDER_PREFIX, Verdict
 from ..core.exceptions import KeyValueError, PlatformError
 from ..core.sentinels import NOTHING
@@ -53,7 +53,7 @@
     """Serve operators.
 
     Args:
-        acceptor: The `Acceptor`.
+        reconciler: The `Reconciler`.
         hosts: The `HostListClient`.
         pages: The `PageReader`.
         clock: The runtime's clock.
@@ -61,9 +61,9 @@
         tokens: Bearer token by team.
     """
 
-    def __init__(self, acceptor, hosts, pages, clock, timeline, tokens):
-        self.acceptor = acceptor
-        self.store = acceptor.store
+    def __init__(self, reconciler, hosts, pages, clock, timeline, tokens):
+        self.reconciler = reconciler
+        self.store = reconciler.store
         self.hosts = hosts
         self.pages = pages
         self.clock = clock
@@ -128,7 +128,7 @@
 
     async def list_files(self, request):
         """Answer with the state of all files."""
-        held = await self.acceptor.read()
+        held = await self.reconciler.read()
         rows = [
             {"file": name, **state_row(state)}
             for name, state in sorted(held.accepted.files.items())
@@ -146,7 +146,7 @@
         if entry is NOTHING:
             respond_error(request, 404, "not_found", f"no file {name!r}")
             return
-        held = await self.acceptor.read()
+        held = await self.reconciler.read()
         state = held.accepted.files.get(name)
         row = state_row(state) if state else {"verdict": Verdict.PENDING}
         respond_json(
@@ -181,7 +181,7 @@
         if revision is NOTHING:
             respond_error(request, 404, "not_found", f"no file {name!r}")
             return
-        self.acceptor.changed()
+        self.reconciler.schedule()
         report = await self.wait_verdict(name, revision)
         if report.verdict == Verdict.ACCEPTED:
             report = await self.wait_in_force(report, began)
@@ -223,7 +223,7 @@
         give_up = self.clock.seconds() + VERDICT_WITHIN
         while self.clock.seconds() < give_up:
             try:
-                held = await self.acceptor.read()
+                held = await self.reconciler.read()
             except KeyValueError:
                 await task.deferLater(self.clock, POLL)
                 continue
@@ -272,7 +272,7 @@
         name = file_name(request)
         request.content.seek(0)
         text = request.content.read().decode("utf-8", "replace")
-        held = await self.acceptor.read()
+        held = await self.reconciler.read()
         listing = await self.store.list(FOLDER_PREFIX)
         folder = {
             entry.key[len(FOLDER_PREFIX) :]: RawFile(
@@ -282,8 +282,8 @@
         }
         revision = listing.revision + 1
         folder[name] = RawFile(text, revision)
-        judged = Judge(held.accepted).judge(folder, revision)
-        state = judged.verdicts.get(name)
+        judged = FolderValidator(held.accepted).validate(folder, revision)
+        state = judged.file_states.get(name)
         if state is None:
             respond_error(request, 409, "busy", "a change is being judged")
             return
@@ -297,7 +297,7 @@
             for kind in ("workspace", "model", "service")
             if kind.encode() in request.args
         }
-        held = await self.acceptor.read()
+        held = await self.reconciler.read()
         merged = merge(
             {
                 name: parse_file(state.content)
@@ -326,7 +326,7 @@
     async def forget_data_centre(self, request):
         """Take a data centre off that is gone for good."""
         name = file_name(request)
-        if not await self.acceptor.forget_data_centre(name):
+        if not await self.reconciler.forget_data_centre(name):
             respond_error(request, 404, "not_found", f"no {name!r}")
             return
         respond_json(request, 200, {"forgotten": name})
--- a/src/hyssopspring/platform/pages.py
+++ b/src/hyssopspring/platform/directory.py
@@ -2,17 +2,17 @@
 
 import msgspec
 
-__all__ = ["DirectoryPages"]
+__all__ = ["DirectoryHandler"]
 
 RESOLVE = b"/v1/resolve"
 READY = b"/v1/ready"
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 TTL_SECONDS = 1
 """Seconds for which callers keep a directory answer. Some keep it three
 times as long, which must end before a stopping host does."""
 
 
-class DirectoryPages:
+class DirectoryHandler:
     """Answer where to connect, and whether this host takes requests.
 
     Args:
@@ -39,7 +39,7 @@
         name = argument(request, b"name")
         region = argument(request, b"region")
         data_centre = argument(request, b"zone")
-        addresses = self.hosts_for(name, region, data_centre)[:MOST_ADDRESSES]
+        addresses = self.hosts_for(name, region, data_centre)[:MAX_ADDRESSES]
         if not addresses:
             respond(request, 503, {})
             return
--- a/src/hyssopspring/platform/headers.py
+++ b/src/hyssopspring/platform/headers.py
@@ -15,8 +15,8 @@
 
 REQUEST_ID = b"x-request-attempt-id"
 DEADLINE = b"x-deadline-ms"
-PARTS = b"x-prompt-prefix"
-TOKENS = b"x-token-usage"
+PROMPT_PARTS = b"x-prompt-prefix"
+TOKEN_USAGE = b"x-token-usage"
 LENGTH_HINT = b"x-length-hint"
 EXPECTED_SERVER = b"x-expect-instance"
 URGENCY = b"x-request-urgency"
@@ -24,27 +24,27 @@
 COPY_FROM = b"kv-fetch"
 CALLER_KEY = b"x-api-key"
 WORKSPACE = b"x-tenant"
-STAMP = b"x-response-stamp"
+RESPONSE_STAMP = b"x-response-stamp"
 NOT_RUN = b"x-not-executed"
 RETRY_AFTER = b"retry-after"
 SERVER_LIMIT = b"server-limit"
 SERVER_LEAVING = b"server-leaving"
 MISDIRECTED = 421
-TURNED_AWAY = 503
+SERVICE_UNAVAILABLE = 503
 
-LONGEST_KEY = 200
+MAX_KEY_BYTES = 200
 """Bytes of the longest key of a caller."""
 
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
 """A decimal number as servers write it."""
 
-MOST_LIMIT = 1e6
+MAX_RATE_LIMIT = 1e6
 """Requests a second above which a limit is taken for nonsense."""
 
-MOST_TOKENS = 10**9
+MAX_TOKENS = 10**9
 """Tokens above which a statement of them is taken for nonsense."""
 
-OURS = (
+INTERNAL_HEADERS = (
     CALLER_KEY,
     WORKSPACE,
     EXPECTED_SERVER,
@@ -59,7 +59,7 @@
 """Headers that are for the system, or that only it sets. A caller's own are
 dropped: a server would act on them, and must not learn keys."""
 
-ONE_CONNECTION = (
+HOP_BY_HOP_HEADERS = (
     b"connection",
     b"content-length",
     b"expect",
@@ -82,18 +82,18 @@
         deadline=read_number(first_value(headers, DEADLINE), 0.001),
         demand=read_demand(headers),
         last_event=first_value(headers, LAST_EVENT),
-        key_digest=read_key(headers),
+        key_digest=read_key_digest(headers),
         tokens=read_tokens(headers),
     )
 
 
-def read_key(headers):
+def read_key_digest(headers):
     """Return the digest of the caller's key, or "" if there is not one.
 
     Of two keys it is open which one asks, so neither does.
     """
     keys = headers.getRawHeaders(CALLER_KEY, ())
-    if len(keys) != 1 or not 0 < len(keys[0]) <= LONGEST_KEY:
+    if len(keys) != 1 or not 0 < len(keys[0]) <= MAX_KEY_BYTES:
         return ""
     return credential_digest(keys[0])
 
@@ -104,7 +104,7 @@
     Returns:
         Their number, `NOTHING` if none are stated, or `INVALID`.
     """
-    stated = headers.getRawHeaders(TOKENS, ())
+    stated = headers.getRawHeaders(TOKEN_USAGE, ())
     if not stated:
         return NOTHING
     numbers = [part.strip() for part in stated[0].split(b",")]
@@ -113,20 +113,20 @@
     if not all(number.isdigit() for number in numbers):
         return INVALID
     total = sum(map(int, numbers)) if max(map(len, numbers)) < 12 else 0
-    return total if 0 < total <= MOST_TOKENS else INVALID
+    return total if 0 < total <= MAX_TOKENS else INVALID
 
 
 def read_demand(headers):
     """Return the `Demand` that a caller states."""
     parts = []
-    for item in first_value(headers, PARTS).split(b","):
+    for item in first_value(headers, PROMPT_PARTS).split(b","):
         name, _, tokens = item.strip().partition(b":")
         if name and tokens.isdigit():
             parts.append((name.decode("latin-1"), int(tokens)))
-    tokens_in, _, most_out = first_value(headers, TOKENS).partition(b",")
+    tokens_in, _, max_out = first_value(headers, TOKEN_USAGE).partition(b",")
     counted = sum(tokens for _, tokens in parts)
     hint = read_number(first_value(headers, LENGTH_HINT), 1.0)
-    out = read_number(most_out.strip(), 1.0)
+    out = read_number(max_out.strip(), 1.0)
     if hint is not NOTHING and (out is NOTHING or hint < out):
         out = hint
     given = read_number(tokens_in.strip(), 1.0)
@@ -168,7 +168,7 @@
             or an empty string.
         workspace: Name of the caller's workspace, or an empty string.
     """
-    sent = passed_on(headers)
+    sent = forwarded_headers(headers)
     sent.setRawHeaders(EXPECTED_SERVER, [server_id.encode()])
     if urgency is not NOTHING:
         sent.setRawHeaders(URGENCY, [b"%d" % urgency])
@@ -184,11 +184,11 @@
     return sent
 
 
-def passed_on(headers):
+def forwarded_headers(headers):
     """Return a copy without what concerns one connection or the system."""
     named = first_value(headers, b"connection").lower().split(b",")
     dropped = {name.strip() for name in named}
-    dropped.update(ONE_CONNECTION, OURS)
+    dropped.update(HOP_BY_HOP_HEADERS, INTERNAL_HEADERS)
     sent = Headers()
     for name, values in headers.getAllRawHeaders():
         if name.lower() not in dropped:
@@ -203,20 +203,20 @@
         not_run=bool(first_value(headers, NOT_RUN)),
         misdirected=status == MISDIRECTED,
         echo=echo or NOTHING,
-        stamped=bool(first_value(headers, STAMP)),
+        stamped=bool(first_value(headers, RESPONSE_STAMP)),
         retry_after=read_decimal(headers, RETRY_AFTER),
         limit=read_limit(headers),
         leaving=read_leaving(headers),
-        turned_away=status == TURNED_AWAY,
+        turned_away=status == SERVICE_UNAVAILABLE,
     )
 
 
 def read_leaving(headers):
     """Return whether a server says that it leaves, or `INVALID`."""
-    said = headers.getRawHeaders(SERVER_LEAVING, ())
-    if not said:
+    raw_values = headers.getRawHeaders(SERVER_LEAVING, ())
+    if not raw_values:
         return False
-    return True if [one.strip() for one in said] == [b"1"] else INVALID
+    return True if [one.strip() for one in raw_values] == [b"1"] else INVALID
 
 
 def read_limit(headers):
@@ -226,7 +226,7 @@
         Their number, `NOTHING` if it names none, or `INVALID`.
     """
     limit = read_decimal(headers, SERVER_LIMIT)
-    if limit in (NOTHING, INVALID) or limit <= MOST_LIMIT:
+    if limit in (NOTHING, INVALID) or limit <= MAX_RATE_LIMIT:
         return limit
     return INVALID
 
--- a/src/hyssopspring/platform/operator.py
+++ b/src/hyssopspring/platform/operator.py
@@ -21,7 +21,7 @@
 __all__ = [
     "CONFIGURATION_KEY",
     "OPERATOR_PREFIX",
-    "conceal_keys",
+    "hash_api_keys",
     "decode_configuration",
     "evacuated_data_centre",
 ]
@@ -30,7 +30,7 @@
 CONFIGURATION_KEY = "op/config"
 EVACUATION_PREFIX = "op/evacuate/"
 
-KINDS = {
+REQUEST_KINDS = {
     "idempotent": RequestKind.IDEMPOTENT,
     "non_idempotent": RequestKind.NON_IDEMPOTENT,
     "streaming": RequestKind.STREAM,
@@ -63,7 +63,7 @@
 
     `rate_per_s` and `burst` count what `unit` names; a rate of 0 stands
     for no limit. `key_digests` stands in the place of `api_keys` once
-    `conceal_keys` has been at work.
+    `hash_api_keys` has been at work.
     """
 
     name: str
@@ -106,7 +106,7 @@
 _DECODER = msgspec.json.Decoder(_Configuration)
 
 
-def conceal_keys(value):
+def hash_api_keys(value):
     """Return the operator's document with digests in place of keys.
 
     Hosts keep the document, and pass it on to each other as it came from
@@ -129,7 +129,7 @@
     """Return the `Configuration` of the operator's document.
 
     Args:
-        value: The document, as `conceal_keys` returns it.
+        value: The document, as `hash_api_keys` returns it.
 
     Raises:
         ProtocolError: It is no such document.
@@ -205,7 +205,7 @@
         name=row.name,
         host=row.host,
         prefix=row.prefix,
-        kind=KINDS[row.kind],
+        kind=REQUEST_KINDS[row.kind],
         timeout=row.timeout_ms / 1000,
         objective=row.target_latency_ms / 1000,
         priority=row.priority,
--- a/src/hyssopspring/platform/registry.py
+++ b/src/hyssopspring/platform/registry.py
@@ -12,7 +12,7 @@
 __all__ = ["SERVERS_PREFIX", "decode_server", "server_id"]
 
 SERVERS_PREFIX = "servers/"
-LEAVING = "draining"
+DRAINING_STATE = "draining"
 
 
 class _Server(msgspec.Struct):
@@ -68,7 +68,7 @@
         data_centre=row.zone,
         slots=row.slots,
         born=row.born,
-        leaving=row.state == LEAVING,
+        leaving=row.state == DRAINING_STATE,
         cold_left=row.cold_left_ms / 1000,
         gone_in=gone_in,
     )
--- a/src/hyssopspring/platform/settings.py
+++ b/src/hyssopspring/platform/settings.py
@@ -9,7 +9,7 @@
 PATH_VARIABLE = "HYSSOPSPRING_BOOT"
 """Environment variable that holds the path of the file."""
 
-DATA_CENTRES = "zones."
+DATA_CENTRE_PREFIX = "zones."
 
 
 def read_settings(path):
@@ -41,22 +41,22 @@
         if equals:
             values[name.strip()] = value.strip()
     try:
-        return check_settings(decode(values))
+        return check_settings(decode_settings(values))
     except KeyError as missing:
         raise SettingsError(f"{path}: {missing.args[0]}: missing") from None
     except ValueError as problem:
         raise SettingsError(f"{path}: {problem}") from None
 
 
-def decode(values):
+def decode_settings(values):
     """Return the `EntrySettings` of values by name."""
     regions = {
-        name.removeprefix(DATA_CENTRES): region
+        name.removeprefix(DATA_CENTRE_PREFIX): region
         for name, region in values.items()
-        if name.startswith(DATA_CENTRES)
+        if name.startswith(DATA_CENTRE_PREFIX)
     }
     first, last = values["port_range"].split(",")
-    cores = number(values, "limits.cores", 1.0)
+    cores = parse_number(values, "limits.cores", 1.0)
     return EntrySettings(
         host=values["node"],
         address=values["ip"],
@@ -70,32 +70,33 @@
         ports=(int(first), int(last)),
         seeds=tuple(filter(None, values.get("seeds", "").split(","))),
         store=values["platform.address"],
-        capacity=number(values, "limits.cpu_share", 1.0) * cores,
-        retry_ratio=number(values, "bounds.retry_budget_ratio", 0.2),
-        retry_extra=number(values, "bounds.retry_budget_extra", 10.0),
-        retry_window=number(values, "bounds.budget_window_s", 10.0),
-        cold_factor=number(values, "bounds.cold_over", 1.0),
-        cold_extra=number(values, "bounds.cold_slack", 0.0),
-        stop_seconds=number(values, "bounds.grace_s", 8.0),
-        revocation=revocation(values),
-        apply_seconds=number(values, "bounds.config_apply_ms", 4000.0) / 1000,
-        limit_overage=number(values, "bounds.quota_overage", 0.0),
-        limit_slack=number(values, "bounds.quota_slack", 0.0),
-        limit_window=number(values, "bounds.quota_window_s", 0.0),
-        least_lease=number(values, "platform.ttl_min_ms", 1000.0) / 1000,
+        capacity=parse_number(values, "limits.cpu_share", 1.0) * cores,
+        retry_ratio=parse_number(values, "bounds.retry_budget_ratio", 0.2),
+        retry_extra=parse_number(values, "bounds.retry_budget_extra", 10.0),
+        retry_window=parse_number(values, "bounds.budget_window_s", 10.0),
+        cold_factor=parse_number(values, "bounds.cold_over", 1.0),
+        cold_extra=parse_number(values, "bounds.cold_slack", 0.0),
+        stop_seconds=parse_number(values, "bounds.grace_s", 8.0),
+        revocation=revocation_seconds(values),
+        apply_seconds=parse_number(values, "bounds.config_apply_ms", 4000.0)
+        / 1000,
+        limit_overage=parse_number(values, "bounds.quota_overage", 0.0),
+        limit_slack=parse_number(values, "bounds.quota_slack", 0.0),
+        limit_window=parse_number(values, "bounds.quota_window_s", 0.0),
+        least_lease=parse_number(values, "platform.ttl_min_ms", 1000.0) / 1000,
     )
 
 
-def revocation(values):
+def revocation_seconds(values):
     """Return the seconds in which a key must end, or `NOTHING`."""
     strict = values.get("bounds.strict_revoke", "") == "true"
-    millis = number(values, "bounds.revoke_ms", NOTHING)
+    millis = parse_number(values, "bounds.revoke_ms", NOTHING)
     if not strict or millis is NOTHING:
         return NOTHING
     return millis / 1000
 
 
-def number(values, name, default):
+def parse_number(values, name, default):
     """Return a number, or *default* if it is not given.
 
     Raises:
--- a/src/hyssopspring/platform/store.py
+++ b/src/hyssopspring/platform/store.py
@@ -17,26 +17,26 @@
     NotApplied,
     WriteUnknown,
 )
-from .operator import CONFIGURATION_KEY, conceal_keys
+from .operator import CONFIGURATION_KEY, hash_api_keys
 
 __all__ = ["PlatformStore"]
 
-TIMEOUT = 1.2
+CALL_TIMEOUT_SECONDS = 1.2
 """Seconds for a call; the store answers in milliseconds, and a slow one
 within about a quarter of a second."""
 
-WATCH_EXTRA = 1.5
+WATCH_GRACE_SECONDS = 1.5
 """Seconds over the asked waiting time after which a watch counts as cut."""
 
-PROBE_TIMEOUT = 0.8
+PROBE_TIMEOUT_SECONDS = 0.8
 """Seconds for the answer to a probe of a watch."""
 
-IDLE_KEPT = 8.0
+IDLE_CONNECTION_SECONDS = 8.0
 """Seconds for which an idle connection to the store is kept."""
 
 GONE = 410
 CONFLICT = 412
-MOST_PAGES = 200
+MAX_PAGES = 200
 
 
 class _Item(msgspec.Struct):
@@ -77,16 +77,19 @@
         address: Its ``ip:port``.
         connections: The `Connections` to use.
         clock: The runtime's clock.
-        silent: Called when a call got no answer, with the time at which it
+        on_no_response: Called when a call got no answer, with the time at
+            which it
             was sent. Connections opened before may be dead as well.
     """
 
-    def __init__(self, address, connections, clock, silent=lambda at: None):
-        self.lane = Lane("store", address, True, IDLE_KEPT)
+    def __init__(
+        self, address, connections, clock, on_no_response=lambda at: None
+    ):
+        self.lane = Lane("store", address, True, IDLE_CONNECTION_SECONDS)
         self.host = address.encode()
         self.connections = connections
         self.clock = clock
-        self.silent = silent
+        self.on_no_response = on_no_response
         self.calls = 0
 
     async def list(self, prefix):
@@ -99,7 +102,7 @@
             KeyValueError: The store did not answer, or not all of it.
         """
         entries, after, revision = [], "", NOTHING
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = {"prefix": prefix}
             if after:
                 query["after"] = after
@@ -132,7 +135,7 @@
             "after": after,
             "wait_ms": int(wait * 1000),
         }
-        return await self.read_changes(query, wait + WATCH_EXTRA)
+        return await self.read_changes(query, wait + WATCH_GRACE_SECONDS)
 
     async def probe(self, prefix, after):
         """Return the changes after a revision that a replica has by now.
@@ -157,7 +160,7 @@
             "wait_ms": 0,
             "allow_stale": 1,
         }
-        return await self.read_changes(query, PROBE_TIMEOUT)
+        return await self.read_changes(query, PROBE_TIMEOUT_SECONDS)
 
     async def read_changes(self, query, timeout):
         """Return the decoded answer of a watch."""
@@ -193,7 +196,9 @@
             KeyValueError: The store did not answer.
         """
         path = f"/v1/kv-keep/{lease}"
-        status, _ = await self.send("POST", path, NOTHING, TIMEOUT)
+        status, _ = await self.send(
+            "POST", path, NOTHING, CALL_TIMEOUT_SECONDS
+        )
         if status not in (200, 404):
             raise KeyValueError(f"{path} answered {status}")
         return status == 200
@@ -205,7 +210,7 @@
             KeyValueError: The store did not answer.
         """
         path = f"/v1/kv-lease-end/{lease}"
-        await self.send("DELETE", path, NOTHING, TIMEOUT)
+        await self.send("DELETE", path, NOTHING, CALL_TIMEOUT_SECONDS)
 
     async def put(self, key, value, lease):
         """Write *key* under a lease, whatever stands there.
@@ -217,7 +222,9 @@
         row = {"key": key, "value": b64encode(value).decode(), "lease": lease}
         body = {"expected_revision": [], "set_keys": [row], "remove": []}
         try:
-            status, data = await self.send("POST", "/v1/kv-txn", body, TIMEOUT)
+            status, data = await self.send(
+                "POST", "/v1/kv-txn", body, CALL_TIMEOUT_SECONDS
+            )
         except KeyValueError as problem:
             return WriteUnknown(str(problem))
         if status in (404, CONFLICT):
@@ -226,13 +233,15 @@
             return WriteUnknown(f"the store answered {status}")
         return Applied(decode(data, _Written).revision)
 
-    async def read(self, path, query, schema, timeout=TIMEOUT):
+    async def read(self, path, query, schema, timeout=CALL_TIMEOUT_SECONDS):
         """Return the decoded answer of a read."""
         return await self.call(
             "GET", f"{path}?{urlencode(query)}", NOTHING, schema, timeout
         )
 
-    async def call(self, method, path, body, schema, timeout=TIMEOUT):
+    async def call(
+        self, method, path, body, schema, timeout=CALL_TIMEOUT_SECONDS
+    ):
         """Return the decoded answer of a call that must succeed.
 
         Raises:
@@ -268,7 +277,7 @@
             )
         except NoAnswerError as problem:
             self.connections.forget(self.lane.key)
-            self.silent(sent_at)
+            self.on_no_response(sent_at)
             raise KeyValueError(f"{path}: {problem}") from None
 
 
@@ -294,5 +303,5 @@
     except ValueError:
         value = b""
     if item.key == CONFIGURATION_KEY:
-        value = conceal_keys(value)
+        value = hash_api_keys(value)
     return Entry(item.key, value, item.revision)
--- a/src/hyssopspring/stores/claimlogs.py
+++ b/src/hyssopspring/stores/claimlogs.py
@@ -24,25 +24,25 @@
 from .keyvalues import Applied, NotApplied
 
 CLAIMS_PREFIX = "/hyssop/claims/"
-MOST_PENDING = 5000
-MOST_AT_ONCE = 200
-DOWN_PAUSE = 0.5
-CONFLICT_PAUSE = 0.01
-MARK_LIFE = 60.0
+MAX_PENDING_RECORDS = 5000
+MAX_GROUP_RECORDS = 200
+UNAVAILABLE_PAUSE_SECONDS = 0.5
+CONFLICT_PAUSE_SECONDS = 0.01
+MARK_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRecord:
     """A record that waits to be written.
 
     Attributes:
         record: The `Record`.
-        give_up: Time on the clock after which it is not written.
+        deadline: Time on the clock after which it is not written.
         done: Deferred of the `Verdict`.
     """
 
     record: object
-    give_up: float
+    deadline: float
     done: object
 
 
@@ -85,8 +85,8 @@
         self.health = health
         self.retention = retention
         self.index = ClaimIndex()
-        self.open = Segment()
-        self.known = False
+        self.open_segment = Segment()
+        self.is_current = False
         self.pending = deque()
         self.running = False
         self.commits = 0
@@ -100,33 +100,33 @@
         """Return the key of a closed segment."""
         return f"{self.prefix}closed/{number:08d}"
 
-    def submit(self, record, give_up):
+    def submit(self, record, deadline):
         """Write *record* with the next group.
 
         Args:
             record: The `Record`.
-            give_up: Time on the clock after which it is not written.
+            deadline: Time on the clock after which it is not written.
 
         Returns:
             Deferred of a `Verdict`. `Verdict.UNAVAILABLE` comes at once
             while the service is known to be down.
         """
-        full = len(self.pending) >= MOST_PENDING
+        full = len(self.pending) >= MAX_PENDING_RECORDS
         claim = record.mark is Mark.CLAIMED
         if full or (claim and self.health.down):
             return defer.succeed(Verdict.UNAVAILABLE)
-        waiting = Pending(record, give_up, defer.Deferred())
+        waiting = PendingRecord(record, deadline, defer.Deferred())
         self.pending.append(waiting)
         if not self.running:
             self.running = True
             work = defer.ensureDeferred(self.run())
-            work.addErrback(self.crashed)
+            work.addErrback(self.on_crash)
         return waiting.done
 
-    def crashed(self, reason):
+    def on_crash(self, reason):
         """Answer all who wait when the work failed unexpectedly."""
         self.running = False
-        self.known = False
+        self.is_current = False
         while self.pending:
             self.pending.popleft().done.callback(Verdict.UNAVAILABLE)
         return reason
@@ -138,8 +138,8 @@
                 await self.refresh()
                 await self.commit()
             except (KeyValueError, ProtocolError) as error:
-                await self.pause_after(error)
-            self.drop_late()
+                await self.handle_failure(error)
+            self.drop_expired()
         self.running = False
 
     async def refresh(self):
@@ -149,13 +149,13 @@
             KeyValueError: The service did not answer, or answered from
                 the past.
         """
-        if self.known:
+        if self.is_current:
             return
         entry = await self.store.get(self.open_key)
         if entry is NOTHING:
             if self.index.number >= 0:
                 raise KeyValueError("the claim log is from the past")
-            self.take_open(Segment(), 0)
+            self.apply_open(Segment(), 0)
             return
         segment = decode_segment(entry.value)
         if entry.revision < self.index.revision:
@@ -163,7 +163,7 @@
         if self.index.number < segment.first:
             self.index = ClaimIndex()
         await self.fold_closed(segment)
-        self.take_open(segment, entry.revision)
+        self.apply_open(segment, entry.revision)
 
     async def fold_closed(self, segment):
         """Fold the closed segments between the index and *segment*."""
@@ -174,37 +174,37 @@
                 raise KeyValueError("the claim log is from the past")
             self.index.fold_segment(decode_segment(entry.value))
 
-    def take_open(self, segment, revision):
+    def apply_open(self, segment, revision):
         """Take over the open segment as it is at *revision*."""
         self.index.fold_segment(segment)
         self.index.revision = revision
-        self.open = segment
-        self.known = True
+        self.open_segment = segment
+        self.is_current = True
 
     async def commit(self):
         """Write one group with one compare-and-swap."""
-        if is_full(self.open):
-            await self.roll()
+        if is_full(self.open_segment):
+            await self.roll_segment()
             return
         group = self.choose_group()
         if not group:
             return
-        await self.wait_turn()
+        await self.wait_for_pacer()
         records = [waiting.record for waiting in group]
-        segment = append(self.open, records)
+        segment = append(self.open_segment, records)
         result = await self.write_open(segment)
         if result is NOTHING:
-            await task.deferLater(self.clock, CONFLICT_PAUSE)
+            await task.deferLater(self.clock, CONFLICT_PAUSE_SECONDS)
             return
         self.commits += 1
         self.health.succeed()
-        self.take_open(segment, result.revision)
+        self.apply_open(segment, result.revision)
         self.timeline.note(
             EventKind.CLAIM_COMMITTED, shard=self.prefix, records=len(records)
         )
-        self.answer_written(group)
+        self.resolve_written(group)
 
-    def answer_written(self, group):
+    def resolve_written(self, group):
         """Answer those whose record has just been written."""
         wall = self.wall()
         for item in group:
@@ -231,13 +231,13 @@
                 continue
             waiting.append(item)
             fresh = record.digest not in digests
-            if fresh and len(group) < MOST_AT_ONCE:
+            if fresh and len(group) < MAX_GROUP_RECORDS:
                 digests.add(record.digest)
                 group.append(item)
         self.pending = waiting
         return group
 
-    async def wait_turn(self):
+    async def wait_for_pacer(self):
         """Wait until the shard may be written again.
 
         The budget keeps all shards together below the rate that the
@@ -258,7 +258,7 @@
         Raises:
             KeyValueError: Whether it took effect is not known.
         """
-        self.known = False
+        self.is_current = False
         result = await self.store.swap(
             self.open_key, encode_segment(segment), self.index.revision
         )
@@ -273,7 +273,7 @@
             return NOTHING
         raise KeyValueError(result.reason)
 
-    async def roll(self):
+    async def roll_segment(self):
         """Close the full segment and open the next.
 
         The closed copy is written first and never changes: whoever
@@ -281,19 +281,21 @@
         more. Only the swap of the open segment decides.
         """
         wall = self.wall()
-        full = seal(self.open, wall)
+        full = seal(self.open_segment, wall)
         result = await self.store.swap(
             self.closed_key(full.number), encode_segment(full), 0
         )
         if not isinstance(result, Applied | NotApplied):
             raise KeyValueError(result.reason)
         self.index.sealed[full.number] = full.sealed_at
-        after = follow(self.open, self.index.sealed, wall, self.retention)
-        dropped = range(self.open.first, after.first)
+        after = follow(
+            self.open_segment, self.index.sealed, wall, self.retention
+        )
+        dropped = range(self.open_segment.first, after.first)
         result = await self.write_open(after)
         if result is NOTHING:
             return
-        self.take_open(after, result.revision)
+        self.apply_open(after, result.revision)
         await self.remove_closed(dropped, wall)
 
     async def remove_closed(self, numbers, wall):
@@ -308,14 +310,14 @@
                 await self.store.remove(key, entry.revision)
             self.index.sealed.pop(number, None)
 
-    async def pause_after(self, error):
+    async def handle_failure(self, error):
         """Refuse claims at once while the service does not answer.
 
         A claim that waited for the service to return would hold its
         caller until the deadline; it is told when to come back instead.
         Marks wait, as no caller waits for them.
         """
-        self.known = False
+        self.is_current = False
         if self.health.fail():
             self.timeline.note(EventKind.CLAIM_UNAVAILABLE, why=error)
         kept = deque()
@@ -326,14 +328,14 @@
                 kept.append(item)
         self.pending = kept
         if kept:
-            await task.deferLater(self.clock, DOWN_PAUSE)
+            await task.deferLater(self.clock, UNAVAILABLE_PAUSE_SECONDS)
 
-    def drop_late(self):
+    def drop_expired(self):
         """Answer those whose time is over."""
         now = self.clock.seconds()
         kept = deque()
         for item in self.pending:
-            if item.give_up <= now:
+            if item.deadline <= now:
                 item.done.callback(Verdict.UNAVAILABLE)
             else:
                 kept.append(item)
--- a/src/hyssopspring/stores/etcd.py
+++ b/src/hyssopspring/stores/etcd.py
@@ -13,11 +13,11 @@
     Listing,
     NotApplied,
     WriteUnknown,
-    key_value,
+    register_client,
 )
 
-REQUEST_TIMEOUT = 1.0
-WATCH_RETRY = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
+WATCH_RETRY_SECONDS = 1.0
 FAILURES = (
     NoAnswerError,
     ProtocolError,
@@ -27,7 +27,7 @@
 )
 
 
-@key_value("etcd")
+@register_client("etcd")
 class EtcdKeyValue:
     """Talk to one key-value service.
 
@@ -124,24 +124,24 @@
             self.url + path,
             body,
             clock=self.clock,
-            timeout=REQUEST_TIMEOUT,
+            timeout=REQUEST_TIMEOUT_SECONDS,
         )
         if status != 200:
             raise ProtocolError(f"status {status} from {path}")
         return answer
 
-    def watch(self, prefix, changed):
-        """Call *changed* whenever a key below *prefix* may have changed.
+    def watch(self, prefix, on_change):
+        """Call *on_change* whenever a key below *prefix* may have changed.
 
         Args:
             prefix: Start of the keys.
-            changed: Called without arguments, also after a reconnect,
+            on_change: Called without arguments, also after a reconnect,
                 since changes may have been missed.
 
         Returns:
             A `Watch`; call its ``stop()`` to end it.
         """
-        watch = Watch(self, prefix, changed)
+        watch = Watch(self, prefix, on_change)
         watch.start()
         return watch
 
@@ -149,12 +149,12 @@
 class Watch:
     """A waiting watch that reconnects until it is stopped."""
 
-    def __init__(self, client, prefix, changed):
+    def __init__(self, client, prefix, on_change):
         self.client = client
         self.prefix = prefix
-        self.changed = changed
+        self.on_change = on_change
         self.stopped = False
-        self.waiting = NOTHING
+        self.retry_timer = NOTHING
         self.transport = NOTHING
 
     def start(self):
@@ -171,28 +171,30 @@
         opened = open_stream(
             self.client.agent, self.client.url + "/v3/watch", body
         )
-        opened.addCallbacks(self.opened, lambda _: self.again())
+        opened.addCallbacks(self.on_opened, lambda _: self.schedule_retry())
 
-    def opened(self, response):
+    def on_opened(self, response):
         """Read events from the open stream."""
-        self.changed()
+        self.on_change()
         reader = _WatchReader(self)
         response.deliverBody(reader)
         self.transport = reader.transport
         if self.stopped:
             self.stop()
 
-    def again(self):
+    def schedule_retry(self):
         """Open the stream anew after a pause."""
         self.transport = NOTHING
         if not self.stopped:
-            self.waiting = self.client.clock.callLater(WATCH_RETRY, self.start)
+            self.retry_timer = self.client.clock.callLater(
+                WATCH_RETRY_SECONDS, self.start
+            )
 
     def stop(self):
         """End the watch."""
         self.stopped = True
-        if self.waiting is not NOTHING and self.waiting.active():
-            self.waiting.cancel()
+        if self.retry_timer is not NOTHING and self.retry_timer.active():
+            self.retry_timer.cancel()
         if self.transport is not NOTHING:
             self.transport.loseConnection()
 
@@ -206,11 +208,11 @@
     def dataReceived(self, data):
         """Report a change; what changed is read afresh."""
         if b'"events"' in data and not self.watch.stopped:
-            self.watch.changed()
+            self.watch.on_change()
 
     def connectionLost(self, reason):
         """Open the stream again."""
-        self.watch.again()
+        self.watch.schedule_retry()
 
 
 def encode(text):
--- a/src/hyssopspring/stores/hosts.py
+++ b/src/hyssopspring/stores/hosts.py
@@ -9,7 +9,7 @@
 from ..core.servers import ServerEntry
 from ..net.clients import fetch_json
 
-TIMEOUT = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
 FAILURES = (NoAnswerError, ProtocolError)
 
 
@@ -114,7 +114,7 @@
                 self.url + path,
                 *body,
                 clock=self.clock,
-                timeout=TIMEOUT,
+                timeout=REQUEST_TIMEOUT_SECONDS,
             )
         except FAILURES as failure:
             raise PlatformError(repr(failure)) from failure
--- a/src/hyssopspring/stores/keyvalues.py
+++ b/src/hyssopspring/stores/keyvalues.py
@@ -5,7 +5,7 @@
 from ..core.exceptions import UnknownPolicyError
 from ..core.sentinels import NOTHING
 
-KEY_VALUES = {}
+CLIENTS = {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,27 +62,27 @@
     reason: str
 
 
-def key_value(scheme):
+def register_client(scheme):
     """Register a client class for addresses with *scheme*.
 
     A client offers the coroutines ``get(key)``, ``list(prefix)``,
     ``swap(key, value, revision)`` and ``remove(key, revision)``, and
-    ``watch(prefix, changed)``, which returns an object with ``stop()``.
+    ``watch(prefix, on_change)``, which returns an object with ``stop()``.
     """
 
     def register(client):
-        KEY_VALUES[scheme] = client
+        CLIENTS[scheme] = client
         return client
 
     return register
 
 
-def find_key_value(scheme):
+def find_client(scheme):
     """Return the client class for *scheme*.
 
     Raises:
         UnknownPolicyError: No client is registered for it.
     """
-    if scheme not in KEY_VALUES:
+    if scheme not in CLIENTS:
         raise UnknownPolicyError(scheme)
-    return KEY_VALUES[scheme]
+    return CLIENTS[scheme]
--- a/src/hyssopspring/stores/following.py
+++ b/src/hyssopspring/stores/sync.py
@@ -10,18 +10,18 @@
 from ..core.trust import Level
 from .keyvalues import Applied, NotApplied
 
-FIRST_POLL = 2.5
-SECOND_POLL = 10.0
+FIRST_WATCHER_POLL_SECONDS = 2.5
+SECOND_WATCHER_POLL_SECONDS = 10.0
 """Seconds between two readings of the first host of a data centre and of the
 other one that watches. A dead watch looks like a quiet one, and a change must
 be in force within four seconds; who reads it tells the others."""
 
-UNSURE_POLL = 1.0
-HOSTS_POLL = 1.0
-IDLE_HOSTS_POLL = 10.0
+UNVERIFIED_POLL_SECONDS = 1.0
+HOST_LIST_POLL_SECONDS = 1.0
+IDLE_HOST_LIST_POLL_SECONDS = 10.0
 
 
-class ConfigFollower:
+class ConfigSync:
     """Keep a host's configuration at the newest that can be had.
 
     The hosts that watch for their data centre follow the key-value
@@ -43,9 +43,9 @@
         self.store = store
         self.pages = pages
         self.watch = NOTHING
-        self.read_due = 0.0
+        self.next_read_at = 0.0
         self.reading = False
-        self.again = False
+        self.reread_requested = False
         self.fetching = set()
         self.down = False
 
@@ -53,26 +53,30 @@
         """Do what is due."""
         now = self.state.clock.seconds()
         keeper = self.state.keeper
-        unsure = self.is_unsure()
-        if unsure:
+        verifying = self.needs_verification()
+        if verifying:
             for host in self.peers.sources():
                 self.fetch(host)
         watching = self.peers.watches(now)
         if watching and self.watch is NOTHING:
-            self.watch = self.store.watch(ACCEPTED_KEY, self.changed)
+            self.watch = self.store.watch(ACCEPTED_KEY, self.schedule_read)
         if not watching and self.watch is not NOTHING:
             self.stop()
-        pause = self.reading_pause(now, unsure)
-        self.read_due = min(self.read_due, now + pause)
-        if (watching or not keeper.generation) and now >= self.read_due:
-            self.read_due = now + pause
-            self.changed()
+        pause = self.read_interval(now, verifying)
+        self.next_read_at = min(self.next_read_at, now + pause)
+        if (watching or not keeper.generation) and now >= self.next_read_at:
+            self.next_read_at = now + pause
+            self.schedule_read()
 
-    def reading_pause(self, now, unsure):
+    def read_interval(self, now, verifying):
         """Return the seconds between two readings beside the watch."""
-        if unsure:
-            return UNSURE_POLL
-        return FIRST_POLL if self.peers.reports(now) else SECOND_POLL
+        if verifying:
+            return UNVERIFIED_POLL_SECONDS
+        return (
+            FIRST_WATCHER_POLL_SECONDS
+            if self.peers.reports(now)
+            else SECOND_WATCHER_POLL_SECONDS
+        )
 
     def stop(self):
         """End the watch."""
@@ -80,53 +84,55 @@
             self.watch.stop()
             self.watch = NOTHING
 
-    def changed(self):
+    def schedule_read(self):
         """Read the accepted configuration, one read at a time."""
         if self.reading:
-            self.again = True
+            self.reread_requested = True
             return
         self.reading = True
-        defer.ensureDeferred(self.read()).addBoth(self.finished)
+        defer.ensureDeferred(self.read()).addBoth(self.on_read_finished)
 
-    def finished(self, result):
+    def on_read_finished(self, result):
         """Read once more if something changed meanwhile."""
         self.reading = False
-        if self.again:
-            self.again = False
-            self.changed()
+        if self.reread_requested:
+            self.reread_requested = False
+            self.schedule_read()
         return result
 
     async def read(self):
         """Read the accepted configuration from the platform."""
-        asked_at = self.state.clock.seconds()
+        requested_at = self.state.clock.seconds()
         try:
             entry = await self.store.get(ACCEPTED_KEY)
         except KeyValueError as error:
-            self.note_platform(down=True, why=error)
-            self.read_due = self.state.clock.seconds() + HOSTS_POLL
+            self.record_platform_state(down=True, why=error)
+            self.next_read_at = (
+                self.state.clock.seconds() + HOST_LIST_POLL_SECONDS
+            )
             return
-        self.note_platform(down=False)
+        self.record_platform_state(down=False)
         if entry is NOTHING:
             return
-        unsure = self.is_unsure()
-        if unsure:
+        verifying = self.needs_verification()
+        if verifying:
             entry = await self.verify(entry)
         if entry is not NOTHING:
-            self.take(entry.value, "platform")
-            self.note_contact(asked_at, verified=unsure)
+            self.apply_encoded(entry.value, "platform")
+            self.record_contact(requested_at, verified=verifying)
 
-    def is_unsure(self):
+    def needs_verification(self):
         """Whether only a configuration that is surely the newest helps."""
         level = self.state.trust.level(self.state.clock.seconds())
         return not self.state.keeper.generation or level is not Level.FULL
 
-    def note_contact(self, asked_at, *, verified):
+    def record_contact(self, requested_at, *, verified):
         """Note that the platform gave its configuration."""
         trust = self.state.trust
         if verified:
-            trust.verify(asked_at)
+            trust.verify(requested_at)
         now = self.state.clock.seconds()
-        trust.hear_direct(asked_at, now, verified=verified)
+        trust.hear_direct(requested_at, now, verified=verified)
 
     async def verify(self, entry):
         """Return what the platform holds now, or `NOTHING`.
@@ -145,7 +151,7 @@
             return result.current
         return NOTHING
 
-    def note_platform(self, *, down, why=""):
+    def record_platform_state(self, *, down, why=""):
         """Put a change of the platform's state on the time line."""
         if down == self.down:
             return
@@ -153,7 +159,7 @@
         kind = EventKind.PLATFORM_DOWN if down else EventKind.PLATFORM_BACK
         self.state.timeline.note(kind, why=why)
 
-    def take(self, data, source):
+    def apply_encoded(self, data, source):
         """Decode an accepted configuration and offer it."""
         try:
             accepted = decode_accepted(data)
@@ -179,7 +185,7 @@
                 source=source,
             )
 
-    def newer(self, host, generation):
+    def on_newer_generation(self, host, generation):
         """Fetch from *host*, which has a newer configuration."""
         self.fetch(host)
 
@@ -190,23 +196,23 @@
             return
         self.fetching.add(host)
         work = defer.ensureDeferred(self.fetch_from(entry))
-        work.addBoth(self.fetched, host)
+        work.addBoth(self.on_fetched, host)
 
-    def fetched(self, result, host):
+    def on_fetched(self, result, host):
         """Allow the next fetch from *host*."""
         self.fetching.discard(host)
         return result
 
     async def fetch_from(self, entry):
         """Read another host's configuration and offer it."""
-        asked_at = self.state.clock.seconds()
+        requested_at = self.state.clock.seconds()
         accepted = await self.pages.config(entry.forward)
         if accepted is not NOTHING and accepted.generation:
             self.offer(accepted, entry.host)
-            self.state.trust.verify(asked_at)
+            self.state.trust.verify(requested_at)
 
 
-class HostFollower:
+class HostListSync:
     """Keep servers and peers as the host list has them.
 
     When the list cannot be read, the last one stays: a data centre that
@@ -223,41 +229,43 @@
         self.state = state
         self.peers = peers
         self.hosts = hosts
-        self.due = 0.0
+        self.next_read_at = 0.0
         self.reading = False
-        self.complete = False
+        self.has_list = False
         peers.replace(seeds)
 
     def tick(self):
         """Read the list if it is due."""
         now = self.state.clock.seconds()
-        if self.reading or now < self.due:
+        if self.reading or now < self.next_read_at:
             return defer.succeed(None)
-        watching = self.peers.watches(now) or not self.complete
-        self.due = now + (HOSTS_POLL if watching else IDLE_HOSTS_POLL)
-        self.due -= HOSTS_POLL / 2
+        watching = self.peers.watches(now) or not self.has_list
+        self.next_read_at = now + (
+            HOST_LIST_POLL_SECONDS if watching else IDLE_HOST_LIST_POLL_SECONDS
+        )
+        self.next_read_at -= HOST_LIST_POLL_SECONDS / 2
         self.reading = True
         work = defer.ensureDeferred(self.read())
-        return work.addBoth(self.finished)
+        return work.addBoth(self.on_read_finished)
 
-    def finished(self, result):
+    def on_read_finished(self, result):
         """Allow the next reading."""
         self.reading = False
         return result
 
     async def read(self):
         """Read the list and take it over."""
-        asked_at = self.state.clock.seconds()
+        requested_at = self.state.clock.seconds()
         try:
             listed = await self.hosts.read()
         except PlatformError:
             return
-        self.complete = True
+        self.has_list = True
         now = self.state.clock.seconds()
-        self.state.trust.hear_direct(asked_at, now)
-        self.take(listed)
+        self.state.trust.hear_direct(requested_at, now)
+        self.apply_list(listed)
 
-    def take(self, listed):
+    def apply_list(self, listed):
         """Take over a host list."""
         table = self.state.table
         leaving = {
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -19,8 +19,8 @@
 from twisted.internet import task
 from twisted.internet.task import Clock
 
-from hyssopspring.config.acceptance import Judge, RawFile
-from hyssopspring.config.accepting import Acceptor
+from hyssopspring.config.reconciler import Reconciler
+from hyssopspring.config.validation import FolderValidator, RawFile
 from hyssopspring.core.accepted import (
     ACCEPTED_KEY,
     FOLDER_PREFIX,
@@ -36,8 +36,8 @@
 from hyssopspring.core.requests import Target, TargetKind
 from hyssopspring.core.sentinels import NOTHING
 from hyssopspring.core.trust import Level, Trust
-from hyssopspring.stores.following import ConfigFollower
 from hyssopspring.stores.hosts import HostList, HostRow
+from hyssopspring.stores.sync import ConfigSync
 from hyssopspring_fakes.memory import MemoryKeyValue
 from hyssopspring_fakes.stores import Store
 
@@ -68,7 +68,7 @@
 
 @dataclass
 class GatewayState:
-    """What `ConfigFollower` needs of a host."""
+    """What `ConfigSync` needs of a host."""
 
     clock: object
     timeline: object
@@ -85,7 +85,7 @@
     client: object
     state: object
     peers: object
-    follower: object
+    config_sync: object
     cut: bool = False
     cut_at: float = 0.0
     started: int = 0
@@ -110,7 +110,7 @@
                 self.start(f"{region}-{number}", region)
         for number in range(2):
             client = MemoryKeyValue(self.store, self.clock)
-            acceptor = Acceptor(
+            reconciler = Reconciler(
                 client,
                 self,
                 Pages(self, NOTHING),
@@ -118,8 +118,8 @@
                 Timeline("admin", HybridClock(self.clock.seconds)),
                 random.Random(number),
             )
-            acceptor.start()
-            self.admins.append(acceptor)
+            reconciler.start()
+            self.admins.append(reconciler)
 
     def start(self, name, region):
         """Start a gateway that remembers nothing."""
@@ -128,7 +128,7 @@
         boots = known.started + 1 if known else 0
         if known:
             client.cut = known.cut
-            known.follower.stop()
+            known.config_sync.stop()
         keeper = GenerationKeeper(
             lambda accepted: self.history.append(
                 (
@@ -145,8 +145,8 @@
             Trust(self.clock.seconds()),
         )
         peers = PeerTable(name, region)
-        follower = ConfigFollower(state, peers, client, Pages(self, name))
-        host = Host(name, region, client, state, peers, follower)
+        config_sync = ConfigSync(state, peers, client, Pages(self, name))
+        host = Host(name, region, client, state, peers, config_sync)
         host.started = boots
         if known:
             host.cut, host.cut_at = known.cut, known.cut_at
@@ -205,7 +205,7 @@
                     self.tick(host)
             if round(self.time / 0.05) % 40 == 0:
                 for admin in self.admins:
-                    admin.changed()
+                    admin.schedule()
             self.check_rights()
 
     def tick(self, host):
@@ -219,7 +219,7 @@
             if other is host or not self.reaches(other.name, host.name):
                 continue
             self.hear(host, other, now)
-        host.follower.tick()
+        host.config_sync.tick()
         trust.neighbours = lambda at: host.peers.neighbours_agree(
             at, host.state.keeper.generation
         )
@@ -239,7 +239,7 @@
             now,
         )
         if generation > host.state.keeper.generation:
-            host.follower.newer(other.name, generation)
+            host.config_sync.on_newer_generation(other.name, generation)
             return
         contact = other.state.trust.in_contact(now)
         if contact and other.region == host.region:
@@ -415,7 +415,7 @@
     folder = {}
     for revision, (name, text) in enumerate(files, 1):
         folder[name] = RawFile(text, revision)
-        outcome = Judge(accepted).judge(folder, revision)
+        outcome = FolderValidator(accepted).validate(folder, revision)
         accepted = outcome.accepted
     return accepted
 
@@ -430,7 +430,7 @@
             names[0]: RawFile(strict, 2),
             names[1]: RawFile(loose, 3),
         }
-        accepted = Judge(Accepted()).judge(folder, 3).accepted
+        accepted = FolderValidator(Accepted()).validate(folder, 3).accepted
         workspace = accepted.configuration.workspaces["w"]
         assert_that(workspace.residency, Equals(frozenset({"dar"})))
         assert_that(workspace.attempts, Equals(1))
@@ -458,8 +458,8 @@
         ("20-team.yaml", "models: {n: {fallback: [m]}}"),
     )
     folder = {"20-team.yaml": RawFile("models: {n: {fallback: [m]}}", 2)}
-    outcome = Judge(accepted).judge(folder, 3)
-    state = outcome.verdicts["10-base.yaml"]
+    outcome = FolderValidator(accepted).validate(folder, 3)
+    state = outcome.file_states["10-base.yaml"]
     assert_that(state.verdict, Equals(Verdict.REFUSED))
     assert_that(outcome.accepted.configuration.models, HasLength(2))
 
@@ -471,7 +471,7 @@
         "20-a.yaml": RawFile("models: {a: {fallback: [b]}}", 2),
         "30-b.yaml": RawFile("models: {b: {}}", 3),
     }
-    accepted = Judge(Accepted()).judge(folder, 3).accepted
+    accepted = FolderValidator(Accepted()).validate(folder, 3).accepted
     verdicts = {state.verdict for state in accepted.files.values()}
     assert_that(verdicts, Equals({Verdict.ACCEPTED}))
 
@@ -487,7 +487,7 @@
         ("10-base.yaml", BASE), ("20-team.yaml", "models: {n: {}}")
     )
     old = {"10-base.yaml": RawFile(BASE, 1)}
-    outcome = Judge(accepted).judge(old, 1)
+    outcome = FolderValidator(accepted).validate(old, 1)
     assert_that(outcome.accepted, Equals(NOTHING))
 
 
@@ -542,10 +542,10 @@
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
     for host in fleet.hosts.values():
-        if host.follower.watch is not NOTHING:
-            host.follower.stop()
-            host.follower.watch = DeadWatch()
-        host.follower.read_due = 0.0
+        if host.config_sync.watch is not NOTHING:
+            host.config_sync.stop()
+            host.config_sync.watch = DeadWatch()
+        host.config_sync.next_read_at = 0.0
     fleet.advance(1.1)
     fleet.put("20-team.yaml", "models: {n: {}}")
     fleet.advance(3.95)
@@ -577,7 +577,7 @@
     assert truth.files["20-team.yaml"].verdict is Verdict.ACCEPTED
 
 
-def test_hosts_cut_off_together_do_not_vouch_for_each_other():
+def test_partitioned_hosts_do_not_extend_each_others_trust():
     """Word of a host that is behind itself proves nothing.
 
     A user's data would be served in an excluded region: two hosts of two
@@ -659,7 +659,7 @@
     raise PlatformError("no answer")
 
 
-def test_new_host_does_not_believe_a_service_that_lags():
+def test_new_host_rejects_a_stale_configuration():
     """A host that starts beside a lagging service takes the newest.
 
     A user's data would be served in an excluded region: the host list
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -139,7 +139,7 @@
         decode_server("servers/x", value)
 
 
-def test_evacuations_are_told_from_other_keys():
+def test_evacuation_keys_are_distinguished_from_other_keys():
     """The configuration's own key names no data centre."""
     assert_that(evacuated_data_centre("op/evacuate/a"), Equals("a"))
     assert_that(evacuated_data_centre("op/config"), Is(NOTHING))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 from twisted.web.client import ResponseFailed
 
-from hyssopspring.config.acceptance import Judge, RawFile
+from hyssopspring.config.validation import FolderValidator, RawFile
 from hyssopspring.core.trust import LONGEST_SILENCE
 from hyssopspring.net.forwarding import FORWARD_PATH
 from hyssopspring_fakes.fleet import Shape
@@ -191,7 +191,7 @@
     }
     revision = accepted.folder_revision + 1
     folder["20-team.yaml"] = RawFile(text, revision)
-    judged = Judge(accepted).judge(folder, revision)
+    judged = FolderValidator(accepted).validate(folder, revision)
     assert sender.offer(judged.accepted)
     status, headers, _ = await work
     assert_that(status, Equals(502))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -15,12 +15,12 @@
 from hyssopspring.entry.admission import Barred, Rights, rights_of
 from hyssopspring.entry.requests import CallerFacts
 from hyssopspring.platform import headers
-from hyssopspring.platform.operator import conceal_keys, decode_configuration
+from hyssopspring.platform.operator import decode_configuration, hash_api_keys
 
 
 def decoded(document):
     """Return the `Configuration` of a document with keys in clear."""
-    return decode_configuration(conceal_keys(msgspec.json.encode(document)))
+    return decode_configuration(hash_api_keys(msgspec.json.encode(document)))
 
 
 def rights(configuration, route, key="", tokens=NOTHING):
@@ -136,7 +136,9 @@
 @pytest.mark.parametrize("keys", [[], [b""], [b"k", b"k"], [b"k" * 300]])
 def test_a_request_without_exactly_one_key_has_none(keys):
     """Of two keys the wrong one is believed."""
-    assert_that(headers.read_key(Headers({b"x-api-key": keys})), Equals(""))
+    assert_that(
+        headers.read_key_digest(Headers({b"x-api-key": keys})), Equals("")
+    )
 
 
 @pytest.mark.parametrize(
@@ -166,7 +168,7 @@
     """Keys of callers lie open in every datagram between hosts."""
     document = keyed_configuration()
     for value in (msgspec.json.encode(document), b'{"api_keys": ["desk-key"'):
-        assert_that(conceal_keys(value), Not(Contains(b"desk-key")))
+        assert_that(hash_api_keys(value), Not(Contains(b"desk-key")))
 
 
 @pytest_twisted.ensureDeferred
