--- a/src/hyssopspring/config/__init__.py
+++ b/src/hyssopspring/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' files: checks, merge and acceptance."""
+"""Parse, merge and validate operators' configuration files."""
--- a/src/hyssopspring/config/checks.py
+++ b/src/hyssopspring/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks on the whole of the merged configuration."""
+"""Consistency checks of the merged configuration."""
 
 from .schema import Problem
 
@@ -8,15 +8,15 @@
 def check(function):
     """Register a check.
 
-    A check takes the merged `Configuration` and the `Merged` leaves and
-    yields a `Problem` for each fault.
+    A check takes the merged `Configuration` and the `Merged` leaves, and
+    yields a `Problem` for each inconsistency.
     """
     CHECKS.append(function)
     return function
 
 
 def find_problems(configuration, merged):
-    """Return the problems of all checks."""
+    """Return the problems that all checks report."""
     return [
         problem
         for function in CHECKS
@@ -26,33 +26,33 @@
 
 @check
 def known_regions(configuration, merged):
-    """Each named region must be declared."""
+    """Require that each referenced region is declared."""
     known = configuration.regions
     for name, workspace in configuration.workspaces.items():
         if workspace.home not in known:
             path = ("workspaces", name, "home")
-            yield Problem(path, f"no region {workspace.home!r}")
+            yield Problem(path, f"undeclared region {workspace.home!r}")
     for path, value in merged.leaves.items():
         if path[-1] not in ("residency", "regions") or len(path) < 3:
             continue
         for region in value:
             if region not in known:
-                yield Problem(path, f"no region {region!r}")
+                yield Problem(path, f"undeclared region {region!r}")
 
 
 @check
 def known_round_trips(configuration, merged):
-    """A round trip must be to a declared region."""
+    """Require that each round trip time is to a declared region."""
     for name, region in configuration.regions.items():
         for other in region.round_trip_ms:
             if other not in configuration.regions:
                 path = ("regions", name, "round_trip_ms", other)
-                yield Problem(path, f"no region {other!r}")
+                yield Problem(path, f"undeclared region {other!r}")
 
 
 @check
 def nonempty_residency(configuration, merged):
-    """What all files permit together must not be empty."""
+    """Require that the intersection of permitted regions is not empty."""
     for kind, field in (
         ("workspaces", "residency"),
         ("models", "regions"),
@@ -61,37 +61,37 @@
         for name, part in getattr(configuration, kind).items():
             regions = getattr(part, field)
             if regions is not None and not regions:
-                reason = "the files together permit no region"
+                reason = "no region is permitted by all files"
                 yield Problem((kind, name, field), reason)
 
 
 @check
 def home_is_permitted(configuration, merged):
-    """A workspace must be allowed to be served at home."""
+    """Require that the residency of a workspace includes its home."""
     for name, workspace in configuration.workspaces.items():
         residency = workspace.residency
         if residency and workspace.home not in residency:
             path = ("workspaces", name, "home")
-            reason = f"home {workspace.home!r} is not in the residency"
+            reason = f"home {workspace.home!r} is not part of the residency"
             yield Problem(path, reason)
 
 
 @check
 def known_fallbacks(configuration, merged):
-    """A fallback must exist and must not lead back."""
+    """Require that fallbacks exist and do not form a cycle."""
     for kind in ("models", "services"):
         offers = getattr(configuration, kind)
         for name, offer in offers.items():
             path = (kind, name, "fallback")
             for fallback in offer.fallback:
                 if fallback not in offers:
-                    yield Problem(path, f"no such fallback {fallback!r}")
+                    yield Problem(path, f"undeclared fallback {fallback!r}")
             if is_in_cycle(name, offers):
                 yield Problem(path, "the fallbacks form a cycle")
 
 
 def is_in_cycle(start, offers):
-    """Whether following fallbacks from *start* comes back to it."""
+    """Return whether the fallbacks of *start* lead back to it."""
     seen = set()
     waiting = list(offers[start].fallback)
     while waiting:
@@ -107,10 +107,10 @@
 
 @check
 def one_owner_of_keys(configuration, merged):
-    """Keys of a workspace come from one file, a key from one workspace.
+    """Require one file for a workspace's keys and one workspace per key.
 
-    Else a team could open another team's workspace with a key of its
-    own, by a file that the other team never reads.
+    Otherwise a team could gain access to the workspace of another team by
+    adding a key of its own in a file that the other team never reads.
     """
     owners = {}
     for path, origins in merged.origins.items():
@@ -119,7 +119,7 @@
         for origin in origins:
             owner = owners.setdefault(path[1], origin.file)
             if owner != origin.file:
-                reason = f"the keys of this workspace are in {owner!r}"
+                reason = f"keys of this workspace are already set in {owner!r}"
                 yield Problem(path, reason)
     users = {}
     for name, workspace in configuration.workspaces.items():
@@ -127,4 +127,6 @@
             user = users.setdefault(digest, name)
             if user != name:
                 path = ("workspaces", name, "keys", label)
-                yield Problem(path, f"the key belongs to {user!r}")
+                yield Problem(
+                    path, f"key is already used by workspace {user!r}"
+                )
--- a/src/hyssopspring/config/merging.py
+++ b/src/hyssopspring/config/merging.py
@@ -1,4 +1,4 @@
-"""Merge of all files in the order of their names, leaf by leaf."""
+"""Merge configuration files in the order of their names, leaf by leaf."""
 
 from dataclasses import dataclass, field
 
@@ -23,7 +23,10 @@
 def rule(name):
     """Register a rule that combines two values of one leaf.
 
-    A rule takes the value merged so far and the one of a later file.
+    A rule takes the value merged so far and the value of a later file.
+
+    Args:
+        name: Name of the rule, as `FIELD_RULES` refers to it.
     """
 
     def register(combine):
@@ -35,31 +38,31 @@
 
 @rule("later")
 def later(before, after):
-    """Let the later file win."""
+    """Return the value of the later file."""
     return after
 
 
 @rule("intersection")
 def intersection(before, after):
-    """Keep what all files permit, whatever their order."""
+    """Return the items that all files permit, independent of their order."""
     return [item for item in before if item in after]
 
 
 @rule("all_true")
 def all_true(before, after):
-    """Let a single no win, whatever the order."""
+    """Return whether all files say true, independent of their order."""
     return before and after
 
 
 @rule("minimum")
 def minimum(before, after):
-    """Let the lowest limit win, whatever the order."""
+    """Return the lowest limit, independent of the order of the files."""
     return min(before, after)
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """One file's word on a leaf."""
+    """The value that one file sets for a leaf, and its line there."""
 
     file: str
     line: int
@@ -68,18 +71,18 @@
 
 @dataclass(slots=True)
 class Merged:
-    """Merged leaves, and which file said what.
+    """Merged leaves, and the files that their values come from.
 
     Attributes:
         leaves: Value by path of keys.
-        origins: List of `Origin` by path, in the order of names.
+        origins: List of `Origin` by path, in the order of file names.
     """
 
     leaves: dict = field(default_factory=dict)
     origins: dict = field(default_factory=dict)
 
     def explain(self, path):
-        """Return rule, merged value and origins of one leaf."""
+        """Return the rule, the merged value and the origins of one leaf."""
         return {
             "path": ".".join(path),
             "rule": rule_name(path),
@@ -111,7 +114,11 @@
 
 
 def merge_leaf(merged, path, value):
-    """Combine one more value into the merged leaf."""
+    """Combine *value* with the value of the leaf merged so far.
+
+    `NOTHING` stands for an entry without fields; it never replaces one
+    that has been merged already.
+    """
     if value is NOTHING:
         merged.leaves.setdefault(path, NOTHING)
         return
@@ -132,7 +139,7 @@
     """Return the `Configuration` of merged leaves.
 
     Raises:
-        msgspec.ValidationError: A needed field is given by no file.
+        msgspec.ValidationError: No file sets a required field.
     """
     nested = {}
     for path, value in merged.leaves.items():
--- a/src/hyssopspring/config/reconciler.py
+++ b/src/hyssopspring/config/reconciler.py
@@ -1,4 +1,4 @@
-"""Bring the folder and the accepted configuration into agreement."""
+"""Reconcile the folder of files with the accepted configuration."""
 
 from dataclasses import dataclass
 
@@ -27,26 +27,36 @@
 )
 
 CONFIRM_TIMEOUT_SECONDS = 1.2
+"""Time after which a proposal is withdrawn while hosts have not confirmed."""
+
 CONFIRM_POLL_SECONDS = 0.1
+"""Interval at which hosts are asked whether they enforce a proposal."""
+
 RETRY_PAUSE_SECONDS = 0.05
+"""Minimum pause between two rounds; up to as much again is added at random."""
+
 RECONCILE_INTERVAL_SECONDS = 2.0
+"""Interval of periodic reconciliations, which do not depend on the watch."""
+
 MAX_ROUNDS = 20
+"""Rounds after which a reconciliation or a removal gives up."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAccepted:
-    """The accepted configuration with its revision in the service."""
+    """The accepted configuration with its revision in the store."""
 
     accepted: Accepted
     revision: int
 
 
 class Reconciler:
-    """Judge the folder whenever it changes.
+    """Validates the folder and updates the accepted configuration.
 
-    Any number of these may run. Each change of the accepted value is one
-    compare-and-swap, and what is written depends only on what was read,
-    so a lost answer or a race costs one more round and nothing else.
+    Any number of reconcilers may run concurrently. Each change of the
+    accepted value is a single compare-and-swap, and the written value
+    depends only on the values that were read, so a lost response or a
+    race costs one more round and nothing else.
 
     Args:
         store: The key-value client.
@@ -78,7 +88,7 @@
             self.watch.stop()
 
     def schedule(self):
-        """Judge the folder soon, one judgement at a time."""
+        """Start a reconciliation, or request another after the running one."""
         if self.running:
             self.rerun_requested = True
             return
@@ -86,7 +96,7 @@
         defer.ensureDeferred(self.reconcile()).addBoth(self.on_finished)
 
     def on_finished(self, result):
-        """Judge once more if the folder changed meanwhile."""
+        """Reconcile again if it was requested in the meantime."""
         self.running = False
         if self.rerun_requested:
             self.rerun_requested = False
@@ -94,10 +104,11 @@
         return result
 
     async def reconcile(self):
-        """Judge until folder and accepted configuration agree.
+        """Run rounds until the folder and the accepted configuration agree.
 
         Returns:
-            Whether they agree, or the platform did not answer in time.
+            True if they agree; False if the platform did not respond or
+            `MAX_ROUNDS` were not enough.
         """
         for _ in range(MAX_ROUNDS):
             try:
@@ -110,7 +121,7 @@
         return False
 
     async def reconcile_once(self):
-        """Make one step; return whether nothing is left to do."""
+        """Run one round; return whether nothing is left to do."""
         stored = await self.read()
         if stored.accepted.proposal is not None:
             await self.resolve_proposal(stored)
@@ -132,7 +143,7 @@
         return False
 
     async def record_data_centres(self, stored):
-        """Remember data centres; return whether any was new."""
+        """Store newly listed data centres; return whether there were any."""
         try:
             listed = await self.hosts.read()
         except PlatformError:
@@ -145,7 +156,15 @@
         return True
 
     async def forget_data_centre(self, name):
-        """Take a data centre off; return whether it was known."""
+        """Remove a data centre from the accepted configuration.
+
+        Returns:
+            Whether it was part of the configuration.
+
+        Raises:
+            KeyValueError: The platform did not respond, or concurrent
+                writers prevented the change in all rounds.
+        """
         for _ in range(MAX_ROUNDS):
             stored = await self.read()
             if name not in stored.accepted.data_centres:
@@ -153,13 +172,15 @@
             accepted = forget_data_centre(stored.accepted, name)
             if await self.swap(stored, accepted):
                 return True
-        raise KeyValueError("the data centre could not be taken off")
+        raise KeyValueError(
+            "cannot remove the data centre: all compare-and-swap writes failed"
+        )
 
     async def read(self):
-        """Return what is `StoredAccepted`.
+        """Return the `StoredAccepted`.
 
         Raises:
-            KeyValueError: The platform did not answer.
+            KeyValueError: The platform did not respond.
         """
         entry = await self.store.get(ACCEPTED_KEY)
         if entry is NOTHING:
@@ -167,14 +188,14 @@
         return StoredAccepted(decode_accepted(entry.value), entry.revision)
 
     async def swap(self, stored, accepted):
-        """Replace what is held; return whether it surely took effect."""
+        """Replace the stored value; return whether it is certainly applied."""
         result = await self.store.swap(
             ACCEPTED_KEY, encode_accepted(accepted), stored.revision
         )
         return isinstance(result, Applied)
 
     def log_verdicts(self, verdicts):
-        """Put the verdicts on the time line."""
+        """Log whether each file was accepted or refused."""
         for name, state in verdicts.items():
             if state.verdict is Verdict.REFUSED:
                 self.timeline.note(
@@ -191,14 +212,15 @@
                 )
 
     async def resolve_proposal(self, stored):
-        """Wait for the hosts that lose a right, then accept or refuse.
-
-        A host that has not heard of a restriction goes on using the
-        right. Only when each has confirmed that it enforces the stricter
-        of both is the restriction in force everywhere, and only then is
-        the operator told so. All must go on confirming for as long as a
-        host that is cut off, and therefore not listed, takes to notice
-        that itself.
+        """Wait for the hosts that lose a right, then apply or withdraw.
+
+        A host that has not received a restriction continues to use the
+        right. The restriction is in force everywhere only after each
+        affected host has confirmed that it enforces the stricter of both
+        configurations, and only then is it reported to the operator. All
+        hosts have to keep confirming for `RESTRICTION_HOLD` seconds: a
+        partitioned host is not listed, and takes that long to detect the
+        partition itself.
         """
         deadline = self.clock.seconds() + CONFIRM_TIMEOUT_SECONDS
         since = NOTHING
@@ -225,9 +247,13 @@
     async def find_unconfirmed(self, accepted):
         """Return the affected hosts that do not enforce *accepted* yet.
 
-        The host list drops a data centre that is cut off, though its
-        hosts go on serving. Therefore each data centre that was ever
-        listed must be heard, until operators say that it is gone.
+        The host list drops a partitioned data centre although its hosts
+        continue to serve. Each data centre that was ever listed therefore
+        has to confirm until operators remove it.
+
+        Returns:
+            Host names, and ``data centre NAME`` for each data centre
+            without a listed host in an affected region.
         """
         try:
             listed = await self.hosts.read()
@@ -257,6 +283,6 @@
 
 
 async def gather(coroutines):
-    """Run coroutines at the same time and return their results."""
+    """Run coroutines concurrently and return their results in order."""
     work = [defer.ensureDeferred(coroutine) for coroutine in coroutines]
     return await defer.gatherResults(work, consumeErrors=True)
--- a/src/hyssopspring/config/schema.py
+++ b/src/hyssopspring/config/schema.py
@@ -1,4 +1,4 @@
-"""Form of one operators' file, checked field by field."""
+"""Schema and parser of a single operators' file."""
 
 import functools
 from typing import Annotated
@@ -13,26 +13,32 @@
 Digest = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 Fraction = Annotated[float, Field(ge=0, le=1)]
 MAX_FILE_CHARACTERS = 65_536
+"""Maximum length of a file."""
+
 MAX_DEADLINE_MS = 86_400_000
+"""Maximum deadline that a file may set: one day."""
+
 PARSE_CACHE_SIZE = 4096
+"""Number of parsed files that are cached by their text."""
+
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 
 class StrictSchema(BaseModel):
-    """Base of all parts: unknown fields are errors."""
+    """Base class of all schemas; rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", strict=True)
 
 
 class LimitsSchema(StrictSchema):
-    """Limits of a workspace; the least over all files holds."""
+    """Limits of a workspace; the lowest value of all files applies."""
 
     requests_per_second: float | None = Field(None, gt=0)
     concurrent: int | None = Field(None, gt=0)
 
 
 class WeightsSchema(StrictSchema):
-    """What a workspace minds; a later file wins."""
+    """Placement weights of a workspace; a later file overrides."""
 
     tail: Fraction | None = None
     cost: Fraction | None = None
@@ -40,7 +46,7 @@
 
 
 class WorkspaceSchema(StrictSchema):
-    """What a file says of one workspace."""
+    """Settings of one workspace."""
 
     home: Name | None = None
     residency: list[Name] | None = Field(None, min_length=1)
@@ -53,7 +59,7 @@
 
 
 class OfferSchema(StrictSchema):
-    """What a file says of one model or service."""
+    """Settings of one model or service."""
 
     regions: list[Name] | None = Field(None, min_length=1)
     repeatable: bool | None = None
@@ -63,13 +69,13 @@
 
 
 class RegionSchema(StrictSchema):
-    """What a file says of one region."""
+    """Settings of one region."""
 
     round_trip_ms: dict[Name, float] | None = None
 
 
 class FileSchema(StrictSchema):
-    """A whole file."""
+    """A complete file."""
 
     regions: dict[Name, RegionSchema | None] | None = None
     workspaces: dict[Name, WorkspaceSchema | None] | None = None
@@ -77,13 +83,13 @@
     services: dict[Name, OfferSchema | None] | None = None
 
 
-class Problem(Exception):  # noqa: N818 - the operators' word for it
-    """Something in a file that is wrong.
+class Problem(Exception):  # noqa: N818 - the term that operators see
+    """An error in a file.
 
     Attributes:
-        path: Path of keys to the place, as a tuple.
-        reason: What was expected.
-        line: Line in the file; 0 for the whole file.
+        path: Path of keys to the invalid value, as a tuple.
+        reason: Description of the error.
+        line: Line number in the file; 0 for the whole file.
     """
 
     def __init__(self, path, reason, line=0):
@@ -94,13 +100,13 @@
 
     @property
     def text(self):
-        """Where and what, without the line."""
+        """The path and the reason, without the line."""
         where = ".".join(self.path)
         return f"{where}: {self.reason}" if where else self.reason
 
 
 class ParsedFile:
-    """A checked file.
+    """A validated file.
 
     Attributes:
         leaves: Value by path of keys.
@@ -112,7 +118,7 @@
         self.lines = lines
 
     def line(self, path):
-        """Return the line of *path* or of the nearest key above it."""
+        """Return the line of *path* or of its nearest parent, else 0."""
         for length in range(len(path), 0, -1):
             found = self.lines.get(tuple(path[:length]))
             if found:
@@ -122,7 +128,7 @@
 
 @functools.lru_cache(maxsize=PARSE_CACHE_SIZE)
 def parse_file(text):
-    """Check one file by itself.
+    """Parse and validate one file on its own.
 
     Args:
         text: The YAML text.
@@ -131,10 +137,10 @@
         A `ParsedFile`.
 
     Raises:
-        Problem: The first thing that is wrong.
+        Problem: The first error in the file.
     """
     if len(text) > MAX_FILE_CHARACTERS:
-        raise Problem((), f"longer than {MAX_FILE_CHARACTERS} characters")
+        raise Problem((), f"file exceeds {MAX_FILE_CHARACTERS} characters")
     loader = LOADER(text)
     try:
         node = loader.get_single_node()
@@ -142,8 +148,8 @@
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None)
         line = mark.line + 1 if mark else 0
-        what = getattr(error, "problem", None) or "no YAML"
-        raise Problem((), f"no YAML: {what}", line) from None
+        what = getattr(error, "problem", None) or "syntax error"
+        raise Problem((), f"invalid YAML: {what}", line) from None
     if values is None:
         return ParsedFile({}, {})
     lines = {}
@@ -159,7 +165,7 @@
 
 
 def first_problem(error, lines):
-    """Turn the first error of a validation into a `Problem`."""
+    """Return the first validation error as a `Problem`."""
     first = error.errors()[0]
     path = tuple(str(part) for part in first["loc"] if part != "[key]")
     place = ParsedFile({}, lines)
@@ -167,11 +173,16 @@
 
 
 def collect_lines(node, path, lines):
-    """Note the line of each key below a YAML node.
+    """Record the line of each key below a YAML node.
+
+    Args:
+        node: The YAML node.
+        path: Path of keys to the node.
+        lines: Line number by path, which is extended.
 
     Raises:
-        Problem: A key stands twice, of which YAML would silently keep
-            only the last.
+        Problem: A mapping contains a key twice. YAML would silently keep
+            only the last value.
     """
     if not isinstance(node, yaml.MappingNode):
         return
@@ -179,13 +190,17 @@
         below = (*path, str(key.value))
         line = key.start_mark.line + 1
         if below in lines:
-            raise Problem(below, "the key stands twice", line)
+            raise Problem(below, "duplicate key", line)
         lines[below] = line
         collect_lines(value, below, lines)
 
 
 def flatten(value, path, leaves):
-    """Collect the leaves of nested mappings; lists are leaves."""
+    """Collect the leaves of nested mappings in *leaves*.
+
+    Lists are leaves. Each entry at the second level, such as a workspace,
+    also gets a leaf with `NOTHING`, so that it exists without any fields.
+    """
     if value is None and len(path) != 2:
         return
     if isinstance(value, dict) or value is None:
--- a/src/hyssopspring/config/validation.py
+++ b/src/hyssopspring/config/validation.py
@@ -1,4 +1,4 @@
-"""Judge the operators' files and say what is accepted."""
+"""Validate operators' files and compute the next accepted configuration."""
 
 from dataclasses import dataclass, replace
 
@@ -19,7 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RawFile:
-    """A file as it stands in the folder now."""
+    """The current content of a file in the folder.
+
+    Attributes:
+        content: The YAML text.
+        revision: Revision of the key-value service at which the file was
+            last written.
+    """
 
     content: str
     revision: int
@@ -27,11 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidationResult:
-    """Outcome of judging the folder.
+    """Result of validating the folder.
 
     Attributes:
-        accepted: What to store, or `NOTHING` if nothing has changed.
-        file_states: `FileState` of the files that were judged, by name.
+        accepted: The `Accepted` to store, or `NOTHING` if nothing has
+            changed.
+        file_states: `FileState` by name, for each validated file.
     """
 
     accepted: Accepted
@@ -39,7 +46,7 @@
 
 
 class FolderValidator:
-    """Judge files one by one against all others.
+    """Validates each changed file together with all accepted files.
 
     Args:
         accepted: The `Accepted` that is in force.
@@ -54,17 +61,17 @@
                 self.parsed_files[name] = parse_file(state.content)
 
     def validate(self, folder, folder_revision):
-        """Judge what has changed in the folder.
+        """Validate the files that have changed in the folder.
 
         Args:
-            folder: `RawFile` by name, all read at one moment.
-            folder_revision: Revision at which it was read.
+            folder: `RawFile` by name, all read at the same revision.
+            folder_revision: Revision at which the folder was read.
 
         Returns:
-            A `ValidationResult`. Nothing changes when the folder was read
-            before
-            what is already accepted: a service that answers from the
-            past would else bring old contents back.
+            A `ValidationResult`. It changes nothing if the folder was read
+            at an older revision than the accepted one, because a stale
+            read from the service would otherwise restore old contents. It
+            also changes nothing while a proposal is pending.
         """
         if folder_revision < self.accepted.folder_revision:
             return ValidationResult(NOTHING, {})
@@ -83,7 +90,7 @@
         )
 
     def find_changed(self, folder):
-        """Return the names of files whose newest form is not judged."""
+        """Return the names of files whose latest revision is not validated."""
         names = []
         for name in sorted(set(folder) | set(self.accepted.files)):
             raw = folder.get(name)
@@ -94,10 +101,18 @@
         return names
 
     def validate_files(self, names, folder):
-        """Judge changed files until no further one can be accepted.
+        """Validate changed files until no further file can be accepted.
 
-        A file may need another that changed at the same moment, so all
-        are tried again while one gets through, and at last together.
+        A file may depend on another one that changed at the same time.
+        The remaining files are therefore retried as long as one of them
+        is accepted, and finally validated together as one change.
+
+        Args:
+            names: Names of the changed files.
+            folder: `RawFile` by name.
+
+        Returns:
+            The new `FileState` of each file, by name.
         """
         waiting = list(names)
         states = {}
@@ -124,7 +139,14 @@
         return states
 
     def try_apply(self, changes):
-        """Try to take over *changes*; return a `Problem` or `NOTHING`."""
+        """Apply *changes* to the parsed files if the result is valid.
+
+        Args:
+            changes: `RawFile` by name; None removes the file.
+
+        Returns:
+            `NOTHING` if the changes were applied, else the `Problem`.
+        """
         trial = dict(self.parsed_files)
         try:
             for name, raw in changes.items():
@@ -139,12 +161,12 @@
         return problem
 
     def find_merged_problem(self, trial, changes):
-        """Return the first problem of the merged whole, or `NOTHING`."""
+        """Return the first problem of the merged files, or `NOTHING`."""
         merged = merge(trial)
         try:
             configuration = build_configuration(merged, self.generation)
         except msgspec.ValidationError as error:
-            return Problem((), f"incomplete: {error}")
+            return Problem((), f"merged configuration is incomplete: {error}")
         for problem in find_problems(configuration, merged):
             empty = ParsedFile({}, {})
             lines = [
@@ -154,7 +176,7 @@
         return NOTHING
 
     def accepted_state(self, name, raw):
-        """Return the state of a file whose newest form is in force."""
+        """Return the state of a file whose latest revision is accepted."""
         return FileState(
             revision=raw.revision if raw else 0,
             verdict=Verdict.ACCEPTED,
@@ -163,7 +185,10 @@
         )
 
     def refused_state(self, name, raw, problem):
-        """Return the state of a file whose newest form is refused."""
+        """Return the state of a file whose latest revision is refused.
+
+        The content that was accepted last stays in force.
+        """
         known = self.accepted.files.get(name)
         return FileState(
             revision=raw.revision if raw else 0,
@@ -175,7 +200,11 @@
         )
 
     def build_accepted(self, files, folder_revision):
-        """Return the next `Accepted`, with a proposal if rights go."""
+        """Return the next `Accepted`.
+
+        A change that withdraws rights becomes a proposal, which hosts
+        have to confirm; any other change is in force immediately.
+        """
         configuration = build_configuration(
             merge(self.parsed_files), self.generation
         )
@@ -201,7 +230,7 @@
 
 
 def apply_proposal(accepted):
-    """Return what follows when all hosts have confirmed the proposal."""
+    """Return the `Accepted` after all hosts have confirmed the proposal."""
     proposal = accepted.proposal
     generation = accepted.generation + 1
     configuration = replace(proposal.configuration, generation=generation)
@@ -216,14 +245,14 @@
 
 
 def add_data_centres(accepted, listed):
-    """Return what follows when the host list shows new data centres.
+    """Return the `Accepted` after the host list shows new data centres.
 
     Args:
         accepted: The `Accepted` that is in force.
         listed: Region by data centre.
 
     Returns:
-        The next `Accepted`, or `NOTHING` if all are known.
+        The next `Accepted`, or `NOTHING` if it contains all of them.
     """
     known = {**accepted.data_centres, **listed}
     if known == accepted.data_centres:
@@ -233,7 +262,7 @@
 
 
 def forget_data_centre(accepted, name):
-    """Return what follows when operators take a data centre off."""
+    """Return the `Accepted` after operators remove a data centre."""
     known = dict(accepted.data_centres)
     del known[name]
     generation = accepted.generation + 1
@@ -241,7 +270,10 @@
 
 
 def withdraw_proposal(accepted, unconfirmed):
-    """Return what follows when a host did not confirm in time.
+    """Return the `Accepted` after a host did not confirm in time.
+
+    All files that the proposal changes are refused, and their previously
+    accepted contents stay in force.
 
     Args:
         accepted: The `Accepted` with the proposal.
@@ -249,7 +281,7 @@
     """
     proposal = accepted.proposal
     generation = accepted.generation + 1
-    reason = "takes a right from hosts that did not confirm: "
+    reason = "withdraws a right from hosts that did not confirm: "
     reason += ", ".join(sorted(unconfirmed))
     files = dict(accepted.files)
     for name, state in proposal.files.items():
--- a/src/hyssopspring/platform/__init__.py
+++ b/src/hyssopspring/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Translation between the users' platform and the product.
+"""Adapter between the users' platform and the gateway.
 
-The names of the platform's pages stay in this package. It decides
-nothing: it decodes what comes into types of the product and encodes what
-goes out.
+Only this package uses the names of the platform's endpoints, headers and
+settings. It contains no policy: it decodes input into types of the gateway
+and encodes output.
 """
--- a/src/hyssopspring/platform/directory.py
+++ b/src/hyssopspring/platform/directory.py
@@ -1,4 +1,4 @@
-"""The pages that callers and the platform ask: directory, readiness."""
+"""HTTP endpoints for the client directory and for readiness checks."""
 
 import msgspec
 
@@ -7,18 +7,21 @@
 RESOLVE = b"/v1/resolve"
 READY = b"/v1/ready"
 MAX_ADDRESSES = 64
+"""Maximum number of addresses in a directory response."""
+
 TTL_SECONDS = 1
-"""Seconds for which callers keep a directory answer. Some keep it three
-times as long, which must end before a stopping host does."""
+"""Time for which callers cache a directory response. Some cache it three times
+as long, and these caches must expire before a stopping host ends."""
 
 
 class DirectoryHandler:
-    """Answer where to connect, and whether this host takes requests.
+    """Serves host addresses to callers, and the readiness of this host.
 
     Args:
         hosts_for: Called with a host name, a region and a data centre;
             returns the addresses of the hosts to use.
-        is_ready: Called for whether this host takes requests.
+        is_ready: Called without arguments; returns whether this host
+            accepts requests.
     """
 
     def __init__(self, hosts_for, is_ready):
@@ -26,7 +29,7 @@
         self.is_ready = is_ready
 
     def handle(self, request):
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         if request.path == READY:
             respond(request, 200 if self.is_ready() else 503, {})
         elif request.path == RESOLVE:
@@ -35,7 +38,7 @@
             respond(request, 404, {})
 
     def resolve(self, request):
-        """Answer with the hosts to use."""
+        """Respond with the addresses of the hosts to use, or 503."""
         name = argument(request, b"name")
         region = argument(request, b"region")
         data_centre = argument(request, b"zone")
@@ -48,12 +51,12 @@
 
 
 def argument(request, name):
-    """Return an argument of the query, or an empty string."""
+    """Return a query argument, or an empty string."""
     return request.args.get(name, [b""])[0].decode("utf-8", "replace")
 
 
 def respond(request, status, value):
-    """Answer with *value* as JSON."""
+    """Send a response with *value* as JSON."""
     body = msgspec.json.encode(value)
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
--- a/src/hyssopspring/platform/headers.py
+++ b/src/hyssopspring/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers and servers, decoded and encoded."""
+"""Decode and encode the HTTP headers of callers and backend servers."""
 
 import re
 
@@ -33,16 +33,16 @@
 SERVICE_UNAVAILABLE = 503
 
 MAX_KEY_BYTES = 200
-"""Bytes of the longest key of a caller."""
+"""Maximum length of an API key of a caller."""
 
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
-"""A decimal number as servers write it."""
+"""Format of decimal numbers in response headers of backend servers."""
 
 MAX_RATE_LIMIT = 1e6
-"""Requests a second above which a limit is taken for nonsense."""
+"""Requests per second above which a rate limit is treated as invalid."""
 
 MAX_TOKENS = 10**9
-"""Tokens above which a statement of them is taken for nonsense."""
+"""Tokens above which a token usage header is treated as invalid."""
 
 INTERNAL_HEADERS = (
     CALLER_KEY,
@@ -56,8 +56,9 @@
     b"kv-from",
     COPY_FROM,
 )
-"""Headers that are for the system, or that only it sets. A caller's own are
-dropped: a server would act on them, and must not learn keys."""
+"""Headers that are addressed to the gateway, or that only it may set. Those of
+a caller are dropped, because a backend server would act on them and must not
+receive API keys."""
 
 HOP_BY_HOP_HEADERS = (
     b"connection",
@@ -70,12 +71,14 @@
     b"transfer-encoding",
     b"upgrade",
 )
+"""Headers that apply to one connection and are not forwarded."""
 
 
 def read_caller(headers):
     """Return the `CallerFacts` of a caller's headers.
 
-    What cannot be read counts as absent: the server judges it.
+    A deadline or demand that cannot be parsed counts as absent: the
+    backend server decides about it.
     """
     return CallerFacts(
         id=first_value(headers, REQUEST_ID),
@@ -88,9 +91,9 @@
 
 
 def read_key_digest(headers):
-    """Return the digest of the caller's key, or "" if there is not one.
+    """Return the digest of the caller's API key, or "" without a valid one.
 
-    Of two keys it is open which one asks, so neither does.
+    Two keys do not identify the caller, so both are ignored.
     """
     keys = headers.getRawHeaders(CALLER_KEY, ())
     if len(keys) != 1 or not 0 < len(keys[0]) <= MAX_KEY_BYTES:
@@ -99,10 +102,10 @@
 
 
 def read_tokens(headers):
-    """Return the tokens that a caller states, in and out together.
+    """Return the input and output tokens that a caller declares.
 
     Returns:
-        Their number, `NOTHING` if none are stated, or `INVALID`.
+        Their sum, `NOTHING` without the header, or `INVALID`.
     """
     stated = headers.getRawHeaders(TOKEN_USAGE, ())
     if not stated:
@@ -117,7 +120,12 @@
 
 
 def read_demand(headers):
-    """Return the `Demand` that a caller states."""
+    """Return the `Demand` that a caller declares.
+
+    Without a declared number of input tokens, those of the prompt parts
+    are added up. The output tokens are the lower of the maximum and the
+    length hint.
+    """
     parts = []
     for item in first_value(headers, PROMPT_PARTS).split(b","):
         name, _, tokens = item.strip().partition(b":")
@@ -138,7 +146,12 @@
 
 
 def read_number(text, unit):
-    """Return a number in the product's unit, or `NOTHING`."""
+    """Return a number converted to the gateway's unit, or `NOTHING`.
+
+    Args:
+        text: Text of the number.
+        unit: Factor that converts it.
+    """
     try:
         value = float(text)
     except ValueError:
@@ -156,14 +169,15 @@
     copy_from="",
     workspace="",
 ):
-    """Return the `Headers` that a server gets.
+    """Return the `Headers` of the request to a backend server.
 
     Args:
         headers: The caller's `Headers`.
-        time_left: Seconds that the caller will still wait, or `NOTHING`.
-        server_id: The server that is to run it, and no other.
-        urgency: Rank among waiting requests; 0 goes first.
-        last_event: Event after which a stream goes on, or b"".
+        time_left: Remaining seconds until the caller's deadline, or
+            `NOTHING`.
+        server_id: Identifier of the only server that may run it.
+        urgency: Rank among waiting requests, or `NOTHING`; 0 is first.
+        last_event: Event after which a stream is resumed, or b"".
         copy_from: Address of a server that has cached more of the prompt,
             or an empty string.
         workspace: Name of the caller's workspace, or an empty string.
@@ -185,7 +199,7 @@
 
 
 def forwarded_headers(headers):
-    """Return a copy without what concerns one connection or the system."""
+    """Return a copy without hop-by-hop and internal headers."""
     named = first_value(headers, b"connection").lower().split(b",")
     dropped = {name.strip() for name in named}
     dropped.update(HOP_BY_HOP_HEADERS, INTERNAL_HEADERS)
@@ -197,7 +211,7 @@
 
 
 def read_head(status, headers):
-    """Return the `Head` of a server's answer."""
+    """Return the `Head` of a response of a backend server."""
     echo = first_value(headers, REQUEST_ID)
     return Head(
         not_run=bool(first_value(headers, NOT_RUN)),
@@ -212,7 +226,7 @@
 
 
 def read_leaving(headers):
-    """Return whether a server says that it leaves, or `INVALID`."""
+    """Return whether a server reports that it is draining, or `INVALID`."""
     raw_values = headers.getRawHeaders(SERVER_LEAVING, ())
     if not raw_values:
         return False
@@ -220,10 +234,10 @@
 
 
 def read_limit(headers):
-    """Return the requests a second that a server says it takes.
+    """Return the rate limit that a server reports.
 
     Returns:
-        Their number, `NOTHING` if it names none, or `INVALID`.
+        Requests per second, `NOTHING` without the header, or `INVALID`.
     """
     limit = read_decimal(headers, SERVER_LIMIT)
     if limit in (NOTHING, INVALID) or limit <= MAX_RATE_LIMIT:
@@ -232,11 +246,11 @@
 
 
 def read_decimal(headers, name):
-    """Return the decimal number of a header.
+    """Return the decimal number in a header.
 
     Returns:
-        The number, `NOTHING` if there is none, or `INVALID`. Of two it is
-        open which one holds.
+        The number, `NOTHING` without the header, or `INVALID`. A repeated
+        header is invalid, because it is ambiguous which value applies.
     """
     values = headers.getRawHeaders(name, ())
     if not values:
--- a/src/hyssopspring/platform/layout.py
+++ b/src/hyssopspring/platform/layout.py
@@ -1,4 +1,4 @@
-"""Where the store holds what, and how it is decoded."""
+"""Key layout of the platform's store, with the decoders of its values."""
 
 from .operator import (
     CONFIGURATION_KEY,
--- a/src/hyssopspring/platform/operator.py
+++ b/src/hyssopspring/platform/operator.py
@@ -1,4 +1,4 @@
-"""What the operator writes into the store, decoded."""
+"""Decode the documents that the operator writes into the store."""
 
 from typing import Annotated, Literal
 
@@ -61,9 +61,9 @@
 class _Workspace(msgspec.Struct):
     """A row of `tenants`.
 
-    `rate_per_s` and `burst` count what `unit` names; a rate of 0 stands
-    for no limit. `key_digests` stands in the place of `api_keys` once
-    `hash_api_keys` has been at work.
+    `rate_per_s` and `burst` are in the unit that `unit` names; a rate of
+    0 means no limit. `hash_api_keys` replaces `api_keys` by
+    `key_digests`.
     """
 
     name: str
@@ -107,11 +107,11 @@
 
 
 def hash_api_keys(value):
-    """Return the operator's document with digests in place of keys.
+    """Return the operator's document with digests in place of API keys.
 
-    Hosts keep the document, and pass it on to each other as it came from
-    the store. A document that cannot be read is passed on empty, as it
-    may hold keys as well.
+    Hosts keep the document and send it to each other in the form in which
+    it came from the store. A document that cannot be decoded is replaced
+    by an empty one, because it may contain keys as well.
     """
     try:
         document = msgspec.json.decode(value)
@@ -132,14 +132,14 @@
         value: The document, as `hash_api_keys` returns it.
 
     Raises:
-        ProtocolError: It is no such document.
+        ProtocolError: The document is invalid.
     """
     try:
         document = _DECODER.decode(value)
         routes = tuple(decode_route(row) for row in document.routes)
         workspaces = decode_workspaces(document.tenants)
     except (msgspec.DecodeError, KeyError) as problem:
-        raise ProtocolError(f"configuration: {problem}") from None
+        raise ProtocolError(f"invalid configuration: {problem}") from None
     services = {row.name: decode_service(row) for row in document.services}
     return Configuration(
         version=document.version,
@@ -157,19 +157,22 @@
     """Return the `Workspace` of each row, by name.
 
     Raises:
-        ProtocolError: Two of them have a name or a key in common, so that
-            it is open who asks.
+        ProtocolError: Two workspaces share a name or a key, so that the
+            caller cannot be identified.
     """
     workspaces, owners = {}, {}
     for row in rows:
         if row.name in workspaces:
-            raise ProtocolError(f"configuration: {row.name} stands twice")
+            raise ProtocolError(
+                f"invalid configuration: duplicate workspace {row.name}"
+            )
         workspaces[row.name] = decode_workspace(row)
         for digest in row.key_digests:
             owner = owners.setdefault(digest, row.name)
             if owner != row.name:
                 raise ProtocolError(
-                    f"configuration: {owner} and {row.name} share a key"
+                    "invalid configuration: "
+                    f"workspaces {owner} and {row.name} share a key"
                 )
     return workspaces
 
@@ -235,14 +238,14 @@
 
 
 def copy_seconds(engine):
-    """Return the seconds that the copy of one cached token takes."""
+    """Return the seconds that it takes to copy one cached token."""
     if not engine.link_mbps:
         return 0.0
     return engine.kv_token_bytes * 8 / (engine.link_mbps * 1e6)
 
 
 def evacuated_data_centre(key):
-    """Return the data centre that a key asks to evacuate, or NOTHING."""
+    """Return the data centre that a key evacuates, or `NOTHING`."""
     if key.startswith(EVACUATION_PREFIX):
         return key.removeprefix(EVACUATION_PREFIX)
     return NOTHING
--- a/src/hyssopspring/platform/registry.py
+++ b/src/hyssopspring/platform/registry.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers in the store, decoded."""
+"""Decode the entries of backend servers in the store."""
 
 from typing import Annotated, Literal
 
@@ -16,11 +16,11 @@
 
 
 class _Server(msgspec.Struct):
-    """A row as servers write it, each field of the type that they use.
+    """An entry in the form and with the field types that servers write.
 
-    `zone` is the data centre, `slots` the requests that run at once,
-    `born` the Unix time of the start in milliseconds, `seq` a count of
-    the server's own that says nothing to others.
+    `zone` is the data centre, `slots` the number of concurrent requests,
+    `born` the Unix time of the start in milliseconds, and `seq` an
+    internal counter of the server without a meaning for others.
     """
 
     service: str
@@ -39,25 +39,25 @@
 
 
 def server_id(key):
-    """Return the identifier of the server whose entry has *key*."""
+    """Return the identifier of the server with the entry *key*."""
     return key.removeprefix(SERVERS_PREFIX)
 
 
 def decode_server(key, value):
     """Return the `ServerEntry` of one item of the store.
 
-    Others may write there too. A row that lacks a field, or has one of
-    another type, names no server: defaults in its place would send
-    requests to what may not serve them.
+    Other programs may write under the same prefix. An entry with a missing
+    field or a field of another type is therefore rejected: with default
+    values, requests could be sent to something that does not serve them.
 
     Raises:
-        ProtocolError: It is no entry.
+        ProtocolError: The value is not an entry of a server.
     """
     try:
         row = _DECODER.decode(value)
         split_address(row.address)
     except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as problem:
-        raise ProtocolError(f"{key}: {problem}") from None
+        raise ProtocolError(f"invalid server entry {key}: {problem}") from None
     gone_in = NOTHING
     if row.time_left_ms is not None:
         gone_in = row.time_left_ms / 1000
--- a/src/hyssopspring/platform/settings.py
+++ b/src/hyssopspring/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Parse the settings file that the platform writes for each process."""
 
 from ..core.exceptions import SettingsError
 from ..core.sentinels import NOTHING
@@ -7,33 +7,37 @@
 __all__ = ["PATH_VARIABLE", "parse_settings", "read_settings"]
 
 PATH_VARIABLE = "HYSSOPSPRING_BOOT"
-"""Environment variable that holds the path of the file."""
+"""Environment variable with the path of the settings file."""
 
 DATA_CENTRE_PREFIX = "zones."
+"""Prefix of the settings that map data centres to regions."""
 
 
 def read_settings(path):
-    """Read and check the file at *path*.
+    """Read and validate the file at *path*.
 
     Raises:
-        SettingsError: It cannot be read, or a value is missing or wrong.
+        SettingsError: The file cannot be read, or a value is missing or
+            invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as problem:
-        raise SettingsError(f"{path}: cannot be read: {problem}") from None
+        raise SettingsError(
+            f"{path}: cannot read settings: {problem}"
+        ) from None
     return parse_settings(path, text)
 
 
 def parse_settings(path, text):
     """Return the `EntrySettings` of a file's *text*.
 
-    Each line is a dotted name, an equals sign and a value; a list is
-    joined by commas.
+    Each line consists of a dotted name, an equals sign and a value; lists
+    are separated by commas.
 
     Raises:
-        SettingsError: A value is missing or wrong; the text names it.
+        SettingsError: A value is missing or invalid; the message names it.
     """
     values = {}
     for line in text.splitlines():
@@ -49,7 +53,7 @@
 
 
 def decode_settings(values):
-    """Return the `EntrySettings` of values by name."""
+    """Return the `EntrySettings` of the values by name."""
     regions = {
         name.removeprefix(DATA_CENTRE_PREFIX): region
         for name, region in values.items()
@@ -88,7 +92,11 @@
 
 
 def revocation_seconds(values):
-    """Return the seconds in which a key must end, or `NOTHING`."""
+    """Return the seconds within which a revoked key must stop working.
+
+    Returns:
+        The seconds, or `NOTHING` unless strict revocation is set.
+    """
     strict = values.get("bounds.strict_revoke", "") == "true"
     millis = parse_number(values, "bounds.revoke_ms", NOTHING)
     if not strict or millis is NOTHING:
@@ -97,10 +105,10 @@
 
 
 def parse_number(values, name, default):
-    """Return a number, or *default* if it is not given.
+    """Return the number set for *name*, or *default* if it is not set.
 
     Raises:
-        ValueError: It is given and is no number; the text names it.
+        ValueError: The value is not a number; the message names it.
     """
     text = values.get(name, "")
     if not text:
--- a/src/hyssopspring/platform/store.py
+++ b/src/hyssopspring/platform/store.py
@@ -22,21 +22,22 @@
 __all__ = ["PlatformStore"]
 
 CALL_TIMEOUT_SECONDS = 1.2
-"""Seconds for a call; the store answers in milliseconds, and a slow one
-within about a quarter of a second."""
+"""Timeout of a call. The store responds within milliseconds, and a slow one
+within about 250 ms."""
 
 WATCH_GRACE_SECONDS = 1.5
-"""Seconds over the asked waiting time after which a watch counts as cut."""
+"""Time beyond the requested wait after which a watch has failed."""
 
 PROBE_TIMEOUT_SECONDS = 0.8
-"""Seconds for the answer to a probe of a watch."""
+"""Timeout of a probe that complements a watch."""
 
 IDLE_CONNECTION_SECONDS = 8.0
-"""Seconds for which an idle connection to the store is kept."""
+"""Time for which an idle connection to the store is kept open."""
 
 GONE = 410
 CONFLICT = 412
 MAX_PAGES = 200
+"""Maximum number of pages in one listing."""
 
 
 class _Item(msgspec.Struct):
@@ -71,15 +72,15 @@
 
 
 class PlatformStore:
-    """Call the store.
+    """Client of the platform's store.
 
     Args:
         address: Its ``ip:port``.
         connections: The `Connections` to use.
         clock: The runtime's clock.
-        on_no_response: Called when a call got no answer, with the time at
-            which it
-            was sent. Connections opened before may be dead as well.
+        on_no_response: Called when a call got no response, with the time
+            at which the call was sent. Connections that were opened before
+            may be dead as well.
     """
 
     def __init__(
@@ -93,13 +94,13 @@
         self.calls = 0
 
     async def list(self, prefix):
-        """Return a `Listing` of all keys below *prefix*.
+        """Return a `Listing` of all keys under *prefix*.
 
-        Pages are no snapshot: what changes meanwhile is seen by a watch
-        that starts at the first page's revision.
+        The pages do not form a snapshot: concurrent changes are returned by
+        a watch that starts at the revision of the first page.
 
         Raises:
-            KeyValueError: The store did not answer, or not all of it.
+            KeyValueError: The store did not return all pages.
         """
         entries, after, revision = [], "", NOTHING
         for _ in range(MAX_PAGES):
@@ -113,22 +114,24 @@
             if not page.has_more or not page.items:
                 return Listing(tuple(entries), revision)
             after = page.items[-1].key
-        raise KeyValueError(f"{prefix}: more pages than expected")
+        raise KeyValueError(
+            f"listing of {prefix} exceeds the maximum number of pages"
+        )
 
     async def watch(self, prefix, after, wait):
-        """Wait for changes below *prefix* that follow a revision.
+        """Wait for changes under *prefix* after a revision.
 
         Args:
             prefix: Start of the keys.
             after: Revision after which changes are of interest.
-            wait: Most seconds to wait.
+            wait: Maximum seconds to wait.
 
         Returns:
             The `Changes`, maybe none.
 
         Raises:
             HistoryLostError: The store has dropped that history.
-            KeyValueError: The store did not answer.
+            KeyValueError: The store did not respond with success.
         """
         query = {
             "prefix": prefix,
@@ -140,8 +143,8 @@
     async def probe(self, prefix, after):
         """Return the changes after a revision that a replica has by now.
 
-        It costs a tenth of a watch. The replica may be seconds behind, so
-        only what it has is news, not what it lacks.
+        A probe costs a tenth of a watch. The replica may be seconds behind,
+        so that it shows which changes exist, but not that none exist.
 
         Args:
             prefix: Start of the keys.
@@ -152,7 +155,7 @@
 
         Raises:
             HistoryLostError: The store has dropped that history.
-            KeyValueError: The store did not answer.
+            KeyValueError: The store did not respond with success.
         """
         query = {
             "prefix": prefix,
@@ -163,7 +166,7 @@
         return await self.read_changes(query, PROBE_TIMEOUT_SECONDS)
 
     async def read_changes(self, query, timeout):
-        """Return the decoded answer of a watch."""
+        """Return the changes in the response to a watch request."""
         answer = await self.read("/v1/kv-watch", query, _Events, timeout)
         return Changes(
             tuple(
@@ -180,44 +183,45 @@
         )
 
     async def grant_lease(self, seconds):
-        """Return the identifier of a new lease.
+        """Create a lease and return its identifier.
 
         Raises:
-            KeyValueError: The store did not answer.
+            KeyValueError: The store did not respond with success.
         """
         body = {"ttl_ms": int(seconds * 1000)}
         answer = await self.call("POST", "/v1/kv-lease", body, _Lease)
         return answer.lease
 
     async def renew_lease(self, lease):
-        """Renew a lease; return whether it still stood.
+        """Renew a lease; return whether it still existed.
 
         Raises:
-            KeyValueError: The store did not answer.
+            KeyValueError: The store did not respond, or with a status other
+                than 200 and 404.
         """
         path = f"/v1/kv-keep/{lease}"
         status, _ = await self.send(
             "POST", path, NOTHING, CALL_TIMEOUT_SECONDS
         )
         if status not in (200, 404):
-            raise KeyValueError(f"{path} answered {status}")
+            raise KeyValueError(f"{path} returned status {status}")
         return status == 200
 
     async def end_lease(self, lease):
-        """End a lease, and so remove its keys.
+        """End a lease, which removes its keys.
 
         Raises:
-            KeyValueError: The store did not answer.
+            KeyValueError: The store did not respond.
         """
         path = f"/v1/kv-lease-end/{lease}"
         await self.send("DELETE", path, NOTHING, CALL_TIMEOUT_SECONDS)
 
     async def put(self, key, value, lease):
-        """Write *key* under a lease, whatever stands there.
+        """Write *key* under a lease, regardless of its current value.
 
         Returns:
             `Applied`, `NotApplied` if the lease has ended, or
-            `WriteUnknown` if the answer did not come.
+            `WriteUnknown` if no valid response arrived.
         """
         row = {"key": key, "value": b64encode(value).decode(), "lease": lease}
         body = {"expected_revision": [], "set_keys": [row], "remove": []}
@@ -230,11 +234,11 @@
         if status in (404, CONFLICT):
             return NotApplied()
         if status != 200:
-            return WriteUnknown(f"the store answered {status}")
+            return WriteUnknown(f"store returned status {status}")
         return Applied(decode(data, _Written).revision)
 
     async def read(self, path, query, schema, timeout=CALL_TIMEOUT_SECONDS):
-        """Return the decoded answer of a read."""
+        """Return the decoded response to a read."""
         return await self.call(
             "GET", f"{path}?{urlencode(query)}", NOTHING, schema, timeout
         )
@@ -242,24 +246,24 @@
     async def call(
         self, method, path, body, schema, timeout=CALL_TIMEOUT_SECONDS
     ):
-        """Return the decoded answer of a call that must succeed.
+        """Return the decoded response to a call that must succeed.
 
         Raises:
             HistoryLostError: The store has dropped that history.
-            KeyValueError: There was no answer, or another than 200.
+            KeyValueError: There was no response, or its status is not 200.
         """
         status, data = await self.send(method, path, body, timeout)
         if status == GONE:
             raise HistoryLostError(path)
         if status != 200:
-            raise KeyValueError(f"{path} answered {status}")
+            raise KeyValueError(f"{path} returned status {status}")
         return decode(data, schema)
 
     async def send(self, method, path, body, timeout):
-        """Send one call; return status and body of the answer.
+        """Send one call; return the status and the body of the response.
 
         Raises:
-            KeyValueError: No whole answer came in time.
+            KeyValueError: No complete response arrived in time.
         """
         self.calls += 1
         sent_at = self.clock.seconds()
@@ -282,21 +286,24 @@
 
 
 def decode(data, schema):
-    """Return an answer's body as *schema*.
+    """Return the body of a response as *schema*.
 
     Raises:
-        KeyValueError: It is not of that form.
+        KeyValueError: The body does not match the schema.
     """
     try:
         return msgspec.json.decode(data, type=schema)
     except (msgspec.DecodeError, ProtocolError) as problem:
-        raise KeyValueError(f"answer of the store: {problem}") from None
+        raise KeyValueError(
+            f"invalid response of the store: {problem}"
+        ) from None
 
 
 def decode_item(item):
-    """Return the `Entry` of one item, without any caller's key.
+    """Return the `Entry` of one item, without API keys of callers.
 
-    A value that is no base64 counts as empty, which no decoder takes.
+    A value that is not valid base64 is replaced by an empty one, which all
+    decoders reject.
     """
     try:
         value = b64decode(item.value, validate=True)
--- a/src/hyssopspring/stores/__init__.py
+++ b/src/hyssopspring/stores/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of key-value services, and what is kept in them."""
+"""Clients of key-value services and the data stored in them."""
--- a/src/hyssopspring/stores/claimlogs.py
+++ b/src/hyssopspring/stores/claimlogs.py
@@ -1,4 +1,4 @@
-"""Claim logs in the key-value service, written in groups."""
+"""Claim logs in the key-value service, written with group commit."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -25,10 +25,19 @@
 
 CLAIMS_PREFIX = "/hyssop/claims/"
 MAX_PENDING_RECORDS = 5000
+"""Records that may wait for a write; further ones fail as unavailable."""
+
 MAX_GROUP_RECORDS = 200
+"""Maximum number of records in one write."""
+
 UNAVAILABLE_PAUSE_SECONDS = 0.5
+"""Pause before marks are retried after the service failed."""
+
 CONFLICT_PAUSE_SECONDS = 0.01
+"""Pause after another host won the race to write a shard."""
+
 MARK_TIMEOUT_SECONDS = 60.0
+"""Time after which an unwritten mark is dropped."""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,7 +47,7 @@
     Attributes:
         record: The `Record`.
         deadline: Time on the clock after which it is not written.
-        done: Deferred of the `Verdict`.
+        done: Deferred that fires with the `Verdict`.
     """
 
     record: object
@@ -49,18 +58,18 @@
 class ClaimLog:
     """One shard of the claim log.
 
-    All records that wait are written with one compare-and-swap, so the
-    writes a second do not grow with the requests a second. Any number of
-    hosts may write the same shard; a lost race costs a further read.
+    All waiting records are written with one compare-and-swap, so the
+    write rate does not grow with the request rate. Any number of hosts
+    may write the same shard; a lost race costs one additional read.
 
     Args:
         store: The key-value client.
         shard: Number of the shard.
         clock: The runtime's clock.
         wall: Callable that returns the wall clock in seconds.
-        pacer: `Pacer` of the shard's writes.
+        pacer: `Pacer` that limits the write rate of the shard.
         timeline: The `Timeline`.
-        health: `Health` of the service, over all logs of the host.
+        health: `Health` of the service, shared by all logs of the host.
         retention: Seconds for which records are kept.
     """
 
@@ -93,7 +102,7 @@
 
     @property
     def open_key(self):
-        """Key of the segment that takes new records."""
+        """Key of the segment that new records are appended to."""
         return f"{self.prefix}open"
 
     def closed_key(self, number):
@@ -101,15 +110,16 @@
         return f"{self.prefix}closed/{number:08d}"
 
     def submit(self, record, deadline):
-        """Write *record* with the next group.
+        """Queue *record* for the next group write.
 
         Args:
             record: The `Record`.
             deadline: Time on the clock after which it is not written.
 
         Returns:
-            Deferred of a `Verdict`. `Verdict.UNAVAILABLE` comes at once
-            while the service is known to be down.
+            Deferred of a `Verdict`. It fires immediately with
+            `Verdict.UNAVAILABLE` if too many records wait, or if the record
+            is a claim and the service is down.
         """
         full = len(self.pending) >= MAX_PENDING_RECORDS
         claim = record.mark is Mark.CLAIMED
@@ -124,7 +134,7 @@
         return waiting.done
 
     def on_crash(self, reason):
-        """Answer all who wait when the work failed unexpectedly."""
+        """Fail all pending records after an unexpected error."""
         self.running = False
         self.is_current = False
         while self.pending:
@@ -132,7 +142,7 @@
         return reason
 
     async def run(self):
-        """Write groups until nothing waits."""
+        """Write groups until no record is pending."""
         while self.pending:
             try:
                 await self.refresh()
@@ -143,46 +153,46 @@
         self.running = False
 
     async def refresh(self):
-        """Read what others have written, unless all is known.
+        """Read the records of other hosts unless the index is current.
 
         Raises:
-            KeyValueError: The service did not answer, or answered from
-                the past.
+            KeyValueError: The service did not respond, or its response
+                is stale.
         """
         if self.is_current:
             return
         entry = await self.store.get(self.open_key)
         if entry is NOTHING:
             if self.index.number >= 0:
-                raise KeyValueError("the claim log is from the past")
+                raise KeyValueError("stale read: open segment is missing")
             self.apply_open(Segment(), 0)
             return
         segment = decode_segment(entry.value)
         if entry.revision < self.index.revision:
-            raise KeyValueError("the claim log is from the past")
+            raise KeyValueError("stale read: open segment is outdated")
         if self.index.number < segment.first:
             self.index = ClaimIndex()
         await self.fold_closed(segment)
         self.apply_open(segment, entry.revision)
 
     async def fold_closed(self, segment):
-        """Fold the closed segments between the index and *segment*."""
+        """Apply the closed segments between the index and *segment*."""
         start = max(self.index.number, segment.first)
         for number in range(start, segment.number):
             entry = await self.store.get(self.closed_key(number))
             if entry is NOTHING:
-                raise KeyValueError("the claim log is from the past")
+                raise KeyValueError("stale read: closed segment is missing")
             self.index.fold_segment(decode_segment(entry.value))
 
     def apply_open(self, segment, revision):
-        """Take over the open segment as it is at *revision*."""
+        """Apply the open segment as stored at *revision*."""
         self.index.fold_segment(segment)
         self.index.revision = revision
         self.open_segment = segment
         self.is_current = True
 
     async def commit(self):
-        """Write one group with one compare-and-swap."""
+        """Write one group of records with one compare-and-swap."""
         if is_full(self.open_segment):
             await self.roll_segment()
             return
@@ -205,7 +215,7 @@
         self.resolve_written(group)
 
     def resolve_written(self, group):
-        """Answer those whose record has just been written."""
+        """Deliver the verdicts of records that have just been written."""
         wall = self.wall()
         for item in group:
             self.pending.remove(item)
@@ -214,10 +224,11 @@
             item.done.callback(verdict or Verdict.UNKNOWN)
 
     def choose_group(self):
-        """Answer what the index decides; return what must be written.
+        """Resolve records that the index contains; return those to write.
 
-        After a lost answer the index tells by the nonce whether the
-        write took effect, so nothing is granted twice or forgotten.
+        After a lost response the nonce in the index shows whether the
+        write was applied, so no claim is granted twice or lost. A group
+        has at most one record for each key digest.
         """
         wall = self.wall()
         group = []
@@ -240,10 +251,11 @@
     async def wait_for_pacer(self):
         """Wait until the shard may be written again.
 
-        The budget keeps all shards together below the rate that the
-        service takes, also when all hosts come back after an outage. It
-        is the shard's own: with one for all shards of a host, those that
-        wait would overtake each other, and some never get their turn.
+        The budget keeps the write rate of all shards together below the
+        capacity of the service, even when all hosts resume after an
+        outage. Each shard has its own budget: if all shards of a host
+        shared one, waiting shards would overtake each other and some
+        would starve.
         """
         while not self.pacer.take(self.clock.seconds()):
             pause = self.pacer.wait(self.clock.seconds())
@@ -253,10 +265,10 @@
         """Replace the open segment.
 
         Returns:
-            `Applied`, or `NOTHING` if another host was first.
+            `Applied`, or `NOTHING` if another host has changed it first.
 
         Raises:
-            KeyValueError: Whether it took effect is not known.
+            KeyValueError: It is unknown whether the write was applied.
         """
         self.is_current = False
         result = await self.store.swap(
@@ -265,7 +277,7 @@
         if isinstance(result, Applied):
             ensure(
                 result.revision > self.index.revision,
-                "the key-value service went back",
+                "revision of the key-value service has decreased",
             )
             return result
         if isinstance(result, NotApplied):
@@ -274,11 +286,12 @@
         raise KeyValueError(result.reason)
 
     async def roll_segment(self):
-        """Close the full segment and open the next.
+        """Close the full segment and open the next one.
 
-        The closed copy is written first and never changes: whoever
-        writes it writes the same records, since a full segment takes no
-        more. Only the swap of the open segment decides.
+        The closed copy is written first and never changes: all hosts
+        write the same records to it, because nothing is appended to a
+        full segment. Only the compare-and-swap of the open segment
+        decides which host has closed it.
         """
         wall = self.wall()
         full = seal(self.open_segment, wall)
@@ -299,7 +312,7 @@
         await self.remove_closed(dropped, wall)
 
     async def remove_closed(self, numbers, wall):
-        """Remove segments that are older than the retention."""
+        """Remove closed segments that are older than the retention."""
         if not numbers:
             return
         self.index.forget(wall - self.retention)
@@ -311,11 +324,11 @@
             self.index.sealed.pop(number, None)
 
     async def handle_failure(self, error):
-        """Refuse claims at once while the service does not answer.
+        """Fail pending claims immediately after a failure of the service.
 
-        A claim that waited for the service to return would hold its
-        caller until the deadline; it is told when to come back instead.
-        Marks wait, as no caller waits for them.
+        A claim that waited for the service to recover would block its
+        caller until the deadline; the caller gets a retry time instead.
+        Marks stay pending, because no caller waits for them.
         """
         self.is_current = False
         if self.health.fail():
@@ -331,7 +344,7 @@
             await task.deferLater(self.clock, UNAVAILABLE_PAUSE_SECONDS)
 
     def drop_expired(self):
-        """Answer those whose time is over."""
+        """Fail pending records whose deadline has passed."""
         now = self.clock.seconds()
         kept = deque()
         for item in self.pending:
--- a/src/hyssopspring/stores/etcd.py
+++ b/src/hyssopspring/stores/etcd.py
@@ -1,4 +1,4 @@
-"""Key-value client for the JSON gateway of the etcd version 3 protocol."""
+"""Key-value client for the JSON gateway of the etcd v3 protocol."""
 
 from base64 import b64decode, b64encode
 
@@ -17,7 +17,11 @@
 )
 
 REQUEST_TIMEOUT_SECONDS = 1.0
+"""Timeout of one request."""
+
 WATCH_RETRY_SECONDS = 1.0
+"""Pause before a watch stream is opened again."""
+
 FAILURES = (
     NoAnswerError,
     ProtocolError,
@@ -25,11 +29,12 @@
     TypeError,
     ValueError,
 )
+"""Errors of a request or of decoding its response."""
 
 
 @register_client("etcd")
 class EtcdKeyValue:
-    """Talk to one key-value service.
+    """Client of one etcd service.
 
     Args:
         url: Base address, such as ``http://127.0.0.1:2379``.
@@ -48,17 +53,17 @@
         """Return the `Entry` of *key*, or `NOTHING` if there is none.
 
         Raises:
-            KeyValueError: The service did not answer.
+            KeyValueError: The service sent no valid response.
         """
         answer = await self.read({"key": encode(key)})
         found = answer.get("kvs", [])
         return decode_entry(found[0]) if found else NOTHING
 
     async def list(self, prefix):
-        """Return a `Listing` of what is below *prefix*.
+        """Return a `Listing` of all keys that start with *prefix*.
 
         Raises:
-            KeyValueError: The service did not answer.
+            KeyValueError: The service sent no valid response.
         """
         answer = await self.read(
             {"key": encode(prefix), "range_end": encode(range_end(prefix))}
@@ -69,7 +74,7 @@
             raise KeyValueError(repr(failure)) from failure
 
     async def read(self, query):
-        """Send a range request and return the answer."""
+        """Send a range request and return the decoded response."""
         self.reads += 1
         try:
             return await self.call("/v3/kv/range", query)
@@ -77,27 +82,27 @@
             raise KeyValueError(repr(failure)) from failure
 
     async def swap(self, key, value, revision):
-        """Write *key* if its revision still is *revision*.
+        """Write *key* if its revision is still *revision*.
 
         Args:
             key: The key.
-            value: The new value, at most a megabyte.
+            value: The new value, at most one megabyte.
             revision: Revision that the key must have; 0 for a new key.
 
         Returns:
-            `Applied`, `NotApplied`, or `WriteUnknown` if the answer did
-            not come: the write may have taken effect all the same.
+            `Applied`, `NotApplied`, or `WriteUnknown` if no valid response
+            arrived: the write may have been applied nevertheless.
         """
         put = {"key": encode(key), "value": b64encode(value).decode()}
         return await self.transact(key, revision, {"request_put": put})
 
     async def remove(self, key, revision):
-        """Delete *key* if its revision still is *revision*."""
+        """Delete *key* if its revision is still *revision*."""
         operation = {"request_delete_range": {"key": encode(key)}}
         return await self.transact(key, revision, operation)
 
     async def transact(self, key, revision, operation):
-        """Carry out *operation* if *key* has *revision*."""
+        """Run *operation* in a transaction if *key* has *revision*."""
         self.writes += 1
         compare = {
             "key": encode(key),
@@ -117,7 +122,7 @@
             return WriteUnknown(repr(failure))
 
     async def call(self, path, body):
-        """Post *body* and return the decoded answer."""
+        """Send *body* with POST and return the decoded response."""
         status, answer = await fetch_json(
             self.agent,
             b"POST",
@@ -127,16 +132,16 @@
             timeout=REQUEST_TIMEOUT_SECONDS,
         )
         if status != 200:
-            raise ProtocolError(f"status {status} from {path}")
+            raise ProtocolError(f"unexpected status {status} from {path}")
         return answer
 
     def watch(self, prefix, on_change):
-        """Call *on_change* whenever a key below *prefix* may have changed.
+        """Call *on_change* whenever a key under *prefix* may have changed.
 
         Args:
-            prefix: Start of the keys.
-            on_change: Called without arguments, also after a reconnect,
-                since changes may have been missed.
+            prefix: Prefix of the keys.
+            on_change: Called without arguments, also after a reconnect
+                because changes may have been missed.
 
         Returns:
             A `Watch`; call its ``stop()`` to end it.
@@ -147,7 +152,7 @@
 
 
 class Watch:
-    """A waiting watch that reconnects until it is stopped."""
+    """A watch stream that reconnects until it is stopped."""
 
     def __init__(self, client, prefix, on_change):
         self.client = client
@@ -158,7 +163,7 @@
         self.transport = NOTHING
 
     def start(self):
-        """Open the stream."""
+        """Open the watch stream."""
         if self.stopped:
             return
         self.client.reads += 1
@@ -174,7 +179,7 @@
         opened.addCallbacks(self.on_opened, lambda _: self.schedule_retry())
 
     def on_opened(self, response):
-        """Read events from the open stream."""
+        """Report a possible change and read events from the stream."""
         self.on_change()
         reader = _WatchReader(self)
         response.deliverBody(reader)
@@ -183,7 +188,7 @@
             self.stop()
 
     def schedule_retry(self):
-        """Open the stream anew after a pause."""
+        """Open the stream again after a pause."""
         self.transport = NOTHING
         if not self.stopped:
             self.retry_timer = self.client.clock.callLater(
@@ -200,33 +205,33 @@
 
 
 class _WatchReader(protocol.Protocol):
-    """Tell a `Watch` of each line that arrives."""
+    """Passes received watch events to a `Watch`."""
 
     def __init__(self, watch):
         self.watch = watch
 
     def dataReceived(self, data):
-        """Report a change; what changed is read afresh."""
+        """Report a change if events arrived; the keys are read again."""
         if b'"events"' in data and not self.watch.stopped:
             self.watch.on_change()
 
     def connectionLost(self, reason):
-        """Open the stream again."""
+        """Schedule a reconnect."""
         self.watch.schedule_retry()
 
 
 def encode(text):
-    """Encode a key as the protocol's JSON form wants it."""
+    """Return a key in base64, as the JSON gateway expects it."""
     return b64encode(text.encode()).decode()
 
 
 def range_end(prefix):
-    """Return the first key after all that start with *prefix*."""
+    """Return the end of the key range that starts with *prefix*."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
 def decode_entry(found):
-    """Decode one ``KeyValue`` message."""
+    """Return the `Entry` of a ``KeyValue`` message."""
     return Entry(
         b64decode(found["key"]).decode(),
         b64decode(found.get("value", "")),
@@ -235,13 +240,13 @@
 
 
 def decode_listing(answer):
-    """Decode the answer to a range request over a prefix."""
+    """Return the `Listing` of a response to a range request."""
     entries = tuple(decode_entry(found) for found in answer.get("kvs", []))
     return Listing(entries, int(answer["header"]["revision"]))
 
 
 def decode_transaction(answer):
-    """Decode the answer to a transaction."""
+    """Return `Applied` or `NotApplied` for a response to a transaction."""
     revision = int(answer["header"]["revision"])
     if answer.get("succeeded", False):
         return Applied(revision)
--- a/src/hyssopspring/stores/hosts.py
+++ b/src/hyssopspring/stores/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's host list and its directory for clients."""
+"""Client of the platform's host list and client directory."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,10 @@
 from ..net.clients import fetch_json
 
 REQUEST_TIMEOUT_SECONDS = 1.0
+"""Timeout of one request."""
+
 FAILURES = (NoAnswerError, ProtocolError)
+"""Errors of a request or of decoding its response."""
 
 
 class HostRow(msgspec.Struct, frozen=True, kw_only=True):
@@ -21,12 +24,12 @@
         kind: ``entry``, ``engine`` or ``service``.
         region: Its region.
         data_centre: Its data centre.
-        address: Where callers or gateways reach it, as ``ip:port``.
-        leaving: Whether it is about to go.
+        address: Address for callers or gateways, as ``ip:port``.
+        leaving: Whether it is about to shut down.
         models: Models that an engine serves.
-        services: Services that a server offers.
-        forward: Of an entry host: address for forwarded requests.
-        control: Of an entry host: address for control messages.
+        services: Services that a service server provides.
+        forward: Address of an entry host for forwarded requests.
+        control: Address of an entry host for control messages.
     """
 
     name: str
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """The rows of the host list, sorted by kind.
+    """The rows of the host list, grouped by kind.
 
     Attributes:
         servers: `ServerEntry` of each backend server.
@@ -68,7 +71,7 @@
 
 
 class HostListClient:
-    """Read the host list, and keep this host's directory entry.
+    """Reads the host list and publishes this host's directory entry.
 
     Args:
         url: Base address.
@@ -85,28 +88,33 @@
         """Return the `HostList`.
 
         Raises:
-            PlatformError: The platform did not answer as it should.
+            PlatformError: The platform sent no valid response.
         """
         answer = await self.call(b"GET", "/hosts")
         try:
             rows = msgspec.convert(answer["hosts"], list[HostRow])
         except (msgspec.ValidationError, KeyError, TypeError) as error:
-            raise PlatformError(f"host list: {error}") from None
+            raise PlatformError(f"invalid host list: {error}") from None
         return HostList(
             tuple(row.server_entry() for row in rows if row.kind != "entry"),
             tuple(row for row in rows if row.kind == "entry"),
         )
 
     async def publish(self, host, entry):
-        """Put this host's entry into the directory."""
+        """Store this host's entry in the directory."""
         await self.call(b"PUT", f"/directory/{host}", entry)
 
     async def withdraw(self, host):
-        """Take this host's entry out of the directory."""
+        """Remove this host's entry from the directory."""
         await self.call(b"DELETE", f"/directory/{host}")
 
     async def call(self, method, path, *body):
-        """Send one request and return the decoded answer."""
+        """Send one request and return the decoded response.
+
+        Raises:
+            PlatformError: The platform did not respond, or with another
+                status than 200.
+        """
         try:
             status, answer = await fetch_json(
                 self.agent,
@@ -119,5 +127,5 @@
         except FAILURES as failure:
             raise PlatformError(repr(failure)) from failure
         if status != 200:
-            raise PlatformError(f"{path} answered {status}")
+            raise PlatformError(f"{path} returned status {status}")
         return answer
--- a/src/hyssopspring/stores/keyvalues.py
+++ b/src/hyssopspring/stores/keyvalues.py
@@ -1,4 +1,4 @@
-"""What the product needs of a key-value service."""
+"""Interface to key-value services and registry of its clients."""
 
 from dataclasses import dataclass
 
@@ -15,8 +15,8 @@
     Attributes:
         key: The key.
         value: The value.
-        revision: Revision of the service at the last change; 0 stands
-            for a key that does not exist.
+        revision: Revision of the service at the last change of the key;
+            0 stands for a key that does not exist.
     """
 
     key: str
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All keys below a prefix, as they were at one revision.
+    """All keys under a prefix at one revision.
 
     Attributes:
-        entries: Each `Entry`.
+        entries: The `Entry` of each key.
         revision: Revision of the service at which they were read.
     """
 
@@ -39,17 +39,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The write took effect."""
+    """The write was applied.
+
+    Attributes:
+        revision: Revision of the service after the write.
+    """
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotApplied:
-    """The write took no effect, as the key had changed.
+    """The write was not applied because the key had changed.
 
     Attributes:
-        current: The `Entry` that stands there, or `NOTHING`.
+        current: The current `Entry` of the key, or `NOTHING`.
     """
 
     current: Entry = NOTHING
@@ -57,7 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteUnknown:
-    """The answer was lost; the write may have taken effect."""
+    """The response was lost; the write may have been applied.
+
+    Attributes:
+        reason: Description of the failure.
+    """
 
     reason: str
 
@@ -65,7 +73,7 @@
 def register_client(scheme):
     """Register a client class for addresses with *scheme*.
 
-    A client offers the coroutines ``get(key)``, ``list(prefix)``,
+    A client has the coroutines ``get(key)``, ``list(prefix)``,
     ``swap(key, value, revision)`` and ``remove(key, revision)``, and
     ``watch(prefix, on_change)``, which returns an object with ``stop()``.
     """
--- a/src/hyssopspring/stores/sync.py
+++ b/src/hyssopspring/stores/sync.py
@@ -1,4 +1,4 @@
-"""Follow the accepted configuration and the host list."""
+"""Keep the accepted configuration and the host list up to date."""
 
 from twisted.internet import defer
 
@@ -12,23 +12,31 @@
 
 FIRST_WATCHER_POLL_SECONDS = 2.5
 SECOND_WATCHER_POLL_SECONDS = 10.0
-"""Seconds between two readings of the first host of a data centre and of the
-other one that watches. A dead watch looks like a quiet one, and a change must
-be in force within four seconds; who reads it tells the others."""
+"""Poll intervals of the first host of a data centre and of the second host
+that watches. A dead watch is indistinguishable from an idle one, and a change
+must be in force within four seconds; the host that reads a change announces it
+to the others."""
 
 UNVERIFIED_POLL_SECONDS = 1.0
+"""Poll interval while the configuration has to be verified."""
+
 HOST_LIST_POLL_SECONDS = 1.0
+"""Poll interval of the host list on hosts that watch for their data centre,
+and pause after a failed read of the configuration."""
+
 IDLE_HOST_LIST_POLL_SECONDS = 10.0
+"""Poll interval of the host list on all other hosts."""
 
 
 class ConfigSync:
-    """Keep a host's configuration at the newest that can be had.
+    """Keeps the configuration of a host at the newest reachable generation.
 
-    The hosts that watch for their data centre follow the key-value
-    service; all others hear of a new generation from their peers'
-    messages and fetch it there. So the number of watches grows with the
-    data centres and not with the hosts, and a data centre that is cut
-    from the platform but not from other data centres stays current.
+    The hosts that watch for their data centre read the key-value service;
+    all others learn of a new generation from the messages of their peers
+    and fetch it from them. The number of watches therefore grows with the
+    number of data centres and not of hosts, and a data centre that is
+    disconnected from the platform but not from other data centres stays
+    current.
 
     Args:
         state: The `HostState`.
@@ -50,7 +58,7 @@
         self.down = False
 
     def tick(self):
-        """Do what is due."""
+        """Start the watch, reads and fetches that are due."""
         now = self.state.clock.seconds()
         keeper = self.state.keeper
         verifying = self.needs_verification()
@@ -69,7 +77,7 @@
             self.schedule_read()
 
     def read_interval(self, now, verifying):
-        """Return the seconds between two readings beside the watch."""
+        """Return the poll interval that complements the watch."""
         if verifying:
             return UNVERIFIED_POLL_SECONDS
         return (
@@ -85,7 +93,7 @@
             self.watch = NOTHING
 
     def schedule_read(self):
-        """Read the accepted configuration, one read at a time."""
+        """Start a read, or request another after the running one."""
         if self.reading:
             self.reread_requested = True
             return
@@ -93,7 +101,7 @@
         defer.ensureDeferred(self.read()).addBoth(self.on_read_finished)
 
     def on_read_finished(self, result):
-        """Read once more if something changed meanwhile."""
+        """Read again if it was requested in the meantime."""
         self.reading = False
         if self.reread_requested:
             self.reread_requested = False
@@ -101,7 +109,7 @@
         return result
 
     async def read(self):
-        """Read the accepted configuration from the platform."""
+        """Read the accepted configuration from the platform and apply it."""
         requested_at = self.state.clock.seconds()
         try:
             entry = await self.store.get(ACCEPTED_KEY)
@@ -122,12 +130,17 @@
             self.record_contact(requested_at, verified=verifying)
 
     def needs_verification(self):
-        """Whether only a configuration that is surely the newest helps."""
+        """Return whether only a verified newest configuration is usable."""
         level = self.state.trust.level(self.state.clock.seconds())
         return not self.state.keeper.generation or level is not Level.FULL
 
     def record_contact(self, requested_at, *, verified):
-        """Note that the platform gave its configuration."""
+        """Record that the platform returned its configuration.
+
+        Args:
+            requested_at: Time at which the read was started.
+            verified: Whether the value was verified to be the newest.
+        """
         trust = self.state.trust
         if verified:
             trust.verify(requested_at)
@@ -135,12 +148,12 @@
         trust.hear_direct(requested_at, now, verified=verified)
 
     async def verify(self, entry):
-        """Return what the platform holds now, or `NOTHING`.
+        """Return the newest entry of the platform, or `NOTHING`.
 
-        A host that has just started remembers no generation, and one
-        that was frozen or cut off an old one, so none could tell an
-        answer from the past. Writing back the same value succeeds only
-        if it is the newest; the refusal names that.
+        A host that has just started has no generation, and one that was
+        frozen or partitioned has an old one, so neither can detect a
+        stale read. Writing back the same value succeeds only if it is the
+        newest; otherwise the response contains the newest one.
         """
         result = await self.store.swap(
             ACCEPTED_KEY, entry.value, entry.revision
@@ -152,7 +165,7 @@
         return NOTHING
 
     def record_platform_state(self, *, down, why=""):
-        """Put a change of the platform's state on the time line."""
+        """Log when the platform becomes unavailable or available again."""
         if down == self.down:
             return
         self.down = down
@@ -160,7 +173,7 @@
         self.state.timeline.note(kind, why=why)
 
     def apply_encoded(self, data, source):
-        """Decode an accepted configuration and offer it."""
+        """Decode an accepted configuration and offer it to the keeper."""
         try:
             accepted = decode_accepted(data)
         except ProtocolError as error:
@@ -169,7 +182,7 @@
         self.offer(accepted, source)
 
     def offer(self, accepted, source):
-        """Offer a configuration to the keeper."""
+        """Offer a configuration to the keeper, and log the result."""
         keeper = self.state.keeper
         if keeper.offer(accepted):
             self.state.timeline.note(
@@ -186,11 +199,11 @@
             )
 
     def on_newer_generation(self, host, generation):
-        """Fetch from *host*, which has a newer configuration."""
+        """Fetch the configuration from *host*, which has a newer one."""
         self.fetch(host)
 
     def fetch(self, host):
-        """Fetch the configuration of another host, once at a time."""
+        """Fetch the configuration of another host unless already fetching."""
         entry = self.peers.entries.get(host)
         if entry is None or host in self.fetching:
             return
@@ -204,7 +217,7 @@
         return result
 
     async def fetch_from(self, entry):
-        """Read another host's configuration and offer it."""
+        """Read the configuration of another host and offer it."""
         requested_at = self.state.clock.seconds()
         accepted = await self.pages.config(entry.forward)
         if accepted is not NOTHING and accepted.generation:
@@ -213,16 +226,16 @@
 
 
 class HostListSync:
-    """Keep servers and peers as the host list has them.
+    """Keeps the server and peer tables in sync with the host list.
 
-    When the list cannot be read, the last one stays: a data centre that
-    is cut off goes on with the servers that it knows.
+    While the list cannot be read, the last one stays in use: a partitioned
+    data centre continues with the servers of that list.
 
     Args:
         state: The `HostState`.
         peers: The `PeerTable`.
         hosts: The `HostListClient`.
-        seeds: Each `PeerEntry` known from the settings.
+        seeds: The `PeerEntry` of each peer in the settings.
     """
 
     def __init__(self, state, peers, hosts, seeds):
@@ -249,12 +262,12 @@
         return work.addBoth(self.on_read_finished)
 
     def on_read_finished(self, result):
-        """Allow the next reading."""
+        """Allow the next read."""
         self.reading = False
         return result
 
     async def read(self):
-        """Read the list and take it over."""
+        """Read the host list and apply it."""
         requested_at = self.state.clock.seconds()
         try:
             listed = await self.hosts.read()
@@ -266,7 +279,7 @@
         self.apply_list(listed)
 
     def apply_list(self, listed):
-        """Take over a host list."""
+        """Update servers and peers from a host list; log changed servers."""
         table = self.state.table
         leaving = {
             name for name, server in table.servers.items() if server.leaving
