--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of operators' files under races, cuts and outages."""
+"""Acceptance of operators' files under races, partitions and outages."""
 
 import os
 import random
@@ -68,7 +68,7 @@
 
 @dataclass
 class GatewayState:
-    """What `ConfigSync` needs of a host."""
+    """The parts of a host's state that `ConfigSync` uses."""
 
     clock: object
     timeline: object
@@ -78,7 +78,7 @@
 
 @dataclass
 class Host:
-    """A gateway's configuration side."""
+    """A gateway reduced to its configuration."""
 
     name: str
     region: str
@@ -94,7 +94,7 @@
 
 @dataclass
 class Fleet:
-    """Gateways, administrations and the platform on a test clock."""
+    """Gateways, administration processes and the platform on a test clock."""
 
     clock: object = field(default_factory=Clock)
     store: object = field(default_factory=Store)
@@ -122,7 +122,7 @@
             self.admins.append(reconciler)
 
     def start(self, name, region):
-        """Start a gateway that remembers nothing."""
+        """Start a gateway without any state of an earlier run."""
         client = MemoryKeyValue(self.store, self.clock)
         known = self.hosts.get(name)
         boots = known.started + 1 if known else 0
@@ -164,7 +164,7 @@
         )
 
     async def read(self):
-        """Return the host list, which lags behind cuts."""
+        """Return the host list, which lags behind partitions."""
         now = self.clock.seconds()
         rows = [
             HostRow(
@@ -181,13 +181,13 @@
         return HostList((), tuple(rows))
 
     def reaches(self, one, other):
-        """Whether a message gets from one host to the other."""
+        """Return whether messages of *one* reach *other*."""
         if self.hosts[other].cut:
             return False
         return one is NOTHING or not self.hosts[one].cut
 
     def set_cut(self, name, cut):
-        """Cut a gateway from everything, or heal it."""
+        """Partition a gateway from everything, or end its partition."""
         host = self.hosts[name]
         if cut and not host.cut:
             host.cut_at = self.clock.seconds()
@@ -195,7 +195,7 @@
         host.client.cut = cut
 
     def advance(self, seconds):
-        """Let time pass; hosts do their periodic work."""
+        """Advance the clock and run the periodic work of all hosts."""
         for _ in range(round(seconds / 0.05)):
             for _ in range(10):
                 self.clock.advance(0.005)
@@ -209,7 +209,7 @@
             self.check_rights()
 
     def tick(self, host):
-        """Do one host's periodic work, heartbeats included."""
+        """Run the periodic work of one host, including heartbeats."""
         now = self.clock.seconds()
         trust = host.state.trust
         trust.wake(now)
@@ -225,7 +225,7 @@
         )
 
     def hear(self, host, other, now):
-        """Let *host* hear a message of *other*."""
+        """Deliver a message of *other* to *host*."""
         generation = other.state.keeper.generation
         host.sequence += 1
         host.peers.hear(
@@ -246,10 +246,10 @@
             host.state.trust.hear_neighbour(now)
 
     def check_rights(self):
-        """Assert that no gateway uses a right that is withdrawn.
+        """Assert that no gateway uses a withdrawn right.
 
-        A withdrawn right is one that the accepted configuration does
-        not give, once no proposal is pending.
+        A right is withdrawn if the accepted configuration does not grant
+        it and no proposal is pending.
         """
         known = self.store.current(ACCEPTED_KEY)
         if known is None:
@@ -277,7 +277,7 @@
             self.store.compare_and_swap(key, data, revision)
 
     def truth(self):
-        """Return what is accepted."""
+        """Return the accepted configuration in the store."""
         return decode_accepted(self.store.current(ACCEPTED_KEY)[0])
 
     def heal(self):
@@ -290,7 +290,7 @@
 
 
 class Pages:
-    """Signed pages, as read by one host."""
+    """Reads the signed pages of other hosts from one host."""
 
     def __init__(self, fleet, me):
         self.fleet = fleet
@@ -312,7 +312,7 @@
 
 
 class AcceptanceMachine(RuleBasedStateMachine):
-    """Draw edits and faults at random; check rights and history."""
+    """Applies random edits and faults; checks rights and history."""
 
     def __init__(self):
         super().__init__()
@@ -332,23 +332,23 @@
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 2.0, 4.0]))
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the clock."""
         self.fleet.advance(seconds)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def cut(self, name):
-        """Cut a gateway from everything."""
+        """Partition a gateway from everything."""
         self.fleet.set_cut(name, True)
 
     @rule(region=st.sampled_from(REGIONS))
     def cut_data_centre(self, region):
-        """Cut both gateways of a data centre."""
+        """Partition both gateways of a data centre."""
         for number in range(2):
             self.fleet.set_cut(f"{region}-{number}", True)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def mend(self, name):
-        """Heal a gateway's links."""
+        """End the partition of a gateway."""
         self.fleet.set_cut(name, False)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
@@ -372,11 +372,11 @@
 
     @invariant()
     def generations_only_grow(self):
-        """No host goes back, and all agree on each generation."""
+        """Generations never decrease, and all hosts agree on each of them."""
         assert check_generations(self.fleet.history) == []
 
     def teardown(self):
-        """After all faults end, everything written is judged everywhere."""
+        """Assert that files are validated on all hosts after the faults."""
         self.fleet.heal()
         self.fleet.advance(25)
         truth = self.fleet.truth()
@@ -393,12 +393,12 @@
 
 
 def test_random_edits_and_faults_keep_rights_and_generations():
-    """Randomised runs keep withdrawn rights unused and all hosts agreed.
+    """Withdrawn rights stay unused and hosts agree under random faults.
 
-    A user would see data served in a region that a file had excluded:
-    operators edit at the same moment, hosts are cut off or replaced, the
-    platform answers late, from the past or not at all. The cause would
-    be a host that acts on a generation that others have left behind.
+    Guards against data being served in a region that a file has excluded,
+    because a host acts on an outdated generation. Operators edit files
+    concurrently, hosts are partitioned or replaced, and the responses of
+    the platform are late, stale or missing.
     """
     examples = int(os.environ.get("HYSSOP_SOAK_EXAMPLES", "25"))
     run_state_machine_as_test(
@@ -410,7 +410,7 @@
 
 
 def judged(*files):
-    """Return what is accepted of files written one after the other."""
+    """Return the `Accepted` after files are written one after the other."""
     accepted = Accepted()
     folder = {}
     for revision, (name, text) in enumerate(files, 1):
@@ -421,7 +421,7 @@
 
 
 def test_strictest_safety_field_wins_whatever_the_order():
-    """No file read alone can loosen what another one restricts."""
+    """The strictest value applies, independent of the order of the files."""
     strict = "workspaces: {w: {residency: [dar], attempts: 1}}"
     loose = "workspaces: {w: {residency: [dar, arusha], attempts: 3}}"
     for names in (("20-a.yaml", "30-b.yaml"), ("30-b.yaml", "20-a.yaml")):
@@ -437,7 +437,7 @@
 
 
 def test_refusal_keeps_the_last_accepted_content():
-    """A wrong revision is refused and changes nothing."""
+    """An invalid revision is refused and the accepted content stays."""
     accepted = judged(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "workspaces: {w: {deadline_ms: 5000}}"),
@@ -452,7 +452,7 @@
 
 
 def test_removal_that_breaks_another_file_is_refused():
-    """A file that others need stays in force when it is removed."""
+    """The removal of a file that another file depends on is refused."""
     accepted = judged(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "models: {n: {fallback: [m]}}"),
@@ -465,7 +465,7 @@
 
 
 def test_two_files_that_need_each_other_are_accepted_together():
-    """Files written at the same moment may refer to each other."""
+    """Files that are written concurrently may refer to each other."""
     folder = {
         "10-base.yaml": RawFile(BASE, 1),
         "20-a.yaml": RawFile("models: {a: {fallback: [b]}}", 2),
@@ -477,11 +477,11 @@
 
 
 def test_older_reading_of_the_folder_is_not_proposed():
-    """A reading from the past does not bring old contents back.
+    """A stale read of the folder does not restore old contents.
 
-    An operator would see a withdrawn file in force again: one
-    administration reads the folder from a replica that lags, after
-    another has accepted the removal.
+    Guards against a removed file coming back into force: one
+    administration process reads the folder from a lagging replica after
+    another one has accepted the removal.
     """
     accepted = judged(
         ("10-base.yaml", BASE), ("20-team.yaml", "models: {n: {}}")
@@ -492,11 +492,11 @@
 
 
 def test_restriction_is_refused_while_a_data_centre_is_cut_off():
-    """A region that cannot hear keeps its rights, visibly.
+    """A restriction is refused while a partitioned region cannot confirm.
 
-    A user of the cut region would be served by a right that operators
-    believe withdrawn: the host list has dropped the region, so nobody
-    there is asked. The cause would be to ask only who is listed.
+    Guards against the partitioned region using a right that is reported
+    as withdrawn: the host list has dropped the region, so a check of only
+    the listed hosts would not ask any host there.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -512,7 +512,7 @@
 
 
 def test_change_is_in_force_everywhere_within_four_seconds():
-    """Both a plain change and a restriction are in force in time."""
+    """Both a plain change and a restriction are in force within 4 s."""
     for text in ("models: {n: {}}", "workspaces: {w: {residency: [dar]}}"):
         fleet = Fleet()
         fleet.put("10-base.yaml", BASE)
@@ -527,16 +527,18 @@
 
 
 class DeadWatch:
-    """A watch whose connection is open and passes nothing."""
+    """A watch with an open connection that delivers no events."""
 
     def stop(self):
-        """End it."""
+        """Do nothing."""
 
 
 def test_a_change_is_in_force_in_time_although_watches_are_dead():
-    """Guards against an old version for as long as a watch is silent.
+    """A change is in force in time although no watch delivers events.
 
-    The change is made right after the hosts have read the store.
+    Guards against hosts that use an old configuration for as long as a
+    watch is dead. The change is made right after the hosts have read the
+    store.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -555,11 +557,11 @@
 
 
 def test_cut_off_host_is_fenced_before_a_restriction_is_in_force():
-    """A host that no list shows has given up the right by itself.
+    """An unlisted host stops using the right before it is withdrawn.
 
-    A user's data would be served in an excluded region: one host loses
+    Guards against data being served in an excluded region: one host loses
     all its links, the host list drops it, and the restriction comes into
-    force without it, while it goes on serving who still reaches it.
+    force without it while it still serves callers that can reach it.
     """
     cases = [(0.0, 0.5), (0.0, 1.5), (3.0, 2.5), (3.0, 3.5)]
     for lag, before in cases:
@@ -578,12 +580,12 @@
 
 
 def test_partitioned_hosts_do_not_extend_each_others_trust():
-    """Word of a host that is behind itself proves nothing.
+    """Messages of an outdated host do not prove contact with the platform.
 
-    A user's data would be served in an excluded region: two hosts of two
-    regions lose the platform and their neighbours but not each other,
-    the restriction comes into force without them, and each takes the
-    other's old word for contact. Found by a long randomised run.
+    Guards against data being served in an excluded region: two hosts of
+    two regions lose the platform and their neighbours but not each other,
+    the restriction comes into force without them, and each treats the
+    outdated messages of the other one as contact.
     """
     fleet = Fleet(lag=0.0)
     fleet.put("10-base.yaml", BASE)
@@ -601,11 +603,11 @@
 
 
 def test_host_list_alone_does_not_restore_rights():
-    """A host that is back from a cut asks for the configuration first.
+    """A host reads the configuration after a partition before using rights.
 
-    A user's data would be served in an excluded region: the host's links
-    heal, it reads the host list and takes that for contact, and its
-    configuration is still the one from before the cut.
+    Guards against data being served in an excluded region: the links of
+    the host recover, it reads the host list and treats that as contact,
+    and its configuration is still the one from before the partition.
     """
     fleet = Fleet(lag=0.0)
     fleet.put("10-base.yaml", BASE)
@@ -633,12 +635,13 @@
 
 
 def test_outage_of_the_platform_leaves_all_rights_in_use():
-    """While all neighbours hear each other, an outage changes nothing.
+    """An outage of the platform has no effect while neighbours are in contact.
 
-    Users of a full region would be refused during an outage, though
-    other regions have room: hosts give up their rights as soon as the
-    platform is out of sight. A host that also misses a neighbour serves
-    what is at home, since that neighbour may know of a restriction.
+    Guards against requests of a full region being refused during an
+    outage although other regions have capacity, because hosts give up
+    their rights when they lose the platform. A host that also loses a
+    neighbour serves only the workspaces at home in its region, because
+    that neighbour may have received a restriction.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -655,16 +658,16 @@
 
 
 async def unreadable():
-    """Stand for a host list that does not answer."""
+    """Fail like a host list that does not respond."""
     raise PlatformError("no answer")
 
 
 def test_new_host_rejects_a_stale_configuration():
-    """A host that starts beside a lagging service takes the newest.
+    """A host that starts while the service lags gets the newest generation.
 
-    A user's data would be served in an excluded region: the host list
-    shows a new host, the key-value service gives it the configuration
-    from before the restriction, and its peers cannot be reached.
+    Guards against data being served in an excluded region: the host list
+    shows a new host, the key-value service returns the configuration from
+    before the restriction, and the peers of the host cannot be reached.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -680,7 +683,7 @@
 
 
 def test_older_configuration_is_never_taken_back():
-    """A host ignores each generation that is not greater than its own."""
+    """A host ignores all generations that are not newer than its own."""
     keeper = GenerationKeeper()
     assert keeper.offer(Accepted(generation=3))
     assert not keeper.offer(Accepted(generation=2))
@@ -689,11 +692,11 @@
 
 
 def test_thawed_host_uses_home_rights_only_until_it_has_asked():
-    """A host that was frozen serves only what is at home with it.
+    """A host that was frozen serves only workspaces of its own region.
 
-    A user's data would be served in an excluded region: the host was
-    frozen while the restriction came into force without it, wakes up,
-    and serves the first request before any message reaches it.
+    Guards against data being served in an excluded region: the host was
+    frozen while the restriction came into force without it, continues to
+    run, and serves the first request before it receives any message.
     """
     trust = Trust(0.0)
     everywhere = frozenset(REGIONS)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Translation between the users' platform and the product."""
+"""Decoding and encoding of the users' platform by its adapter."""
 
 import msgspec
 import pytest
@@ -79,7 +79,7 @@
 
 
 def test_settings_are_decoded_into_the_products_units():
-    """Unknown names are left alone; milliseconds become seconds."""
+    """Unknown names are ignored; milliseconds become seconds."""
     settings = parse_settings("file", SETTINGS)
     assert_that(settings.regions["south-a"], Equals("south"))
     assert_that(settings.ports, Equals((7660, 7675)))
@@ -99,14 +99,18 @@
     ],
 )
 def test_wrong_settings_name_the_value(line, named):
-    """A process that starts with a wrong value fails under traffic."""
+    """The error of an invalid value names the setting.
+
+    Guards against a process that starts with an invalid value and fails
+    only under traffic.
+    """
     with pytest.raises(SettingsError) as raised:
         parse_settings("file", SETTINGS + line)
     assert named in str(raised.value)
 
 
 def test_a_missing_setting_is_named():
-    """An operator reads which line the file lacks."""
+    """The error for a missing setting names it for the operator."""
     text = SETTINGS.replace("region=north\n", "", 1)
     with pytest.raises(SettingsError) as raised:
         parse_settings("file", text)
@@ -114,7 +118,7 @@
 
 
 def test_the_operators_document_is_decoded():
-    """Each field arrives in the type and unit of the product."""
+    """Each field is converted to the type and unit of the gateway."""
     value = msgspec.json.encode(CONFIGURATION)
     configuration = decode_configuration(value)
     quote, rate = configuration.routes
@@ -132,7 +136,11 @@
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[1]", b"\xff", b'{"a"'])
 def test_documents_that_are_none_are_refused(value):
-    """A host stops following, since one value could not be read."""
+    """Invalid values raise `ProtocolError` and no other error.
+
+    Guards against a host that stops following the store because one value
+    cannot be decoded.
+    """
     with pytest.raises(ProtocolError):
         decode_configuration(value)
     with pytest.raises(ProtocolError):
@@ -140,13 +148,13 @@
 
 
 def test_evacuation_keys_are_distinguished_from_other_keys():
-    """The configuration's own key names no data centre."""
+    """The key of the configuration is not an evacuation of a data centre."""
     assert_that(evacuated_data_centre("op/evacuate/a"), Equals("a"))
     assert_that(evacuated_data_centre("op/config"), Is(NOTHING))
 
 
 def test_a_servers_entry_is_decoded():
-    """Milliseconds become seconds, and a state becomes a flag."""
+    """Milliseconds become seconds, and the state becomes a flag."""
     row = {
         "service": "s1",
         "address": "127.0.0.5:80",
@@ -199,10 +207,11 @@
     ids=str,
 )
 def test_an_entry_that_is_no_servers_names_no_server(change):
-    """Requests go to a server that someone else has made up.
+    """Entries that no server has written are rejected.
 
-    Another program writes below the same prefix. Fields that lacked were
-    given defaults, and a state that has no meaning counted as ready.
+    Guards against requests being sent to such an entry: another program
+    writes under the same prefix, missing fields get default values, and an
+    unknown state counts as ready.
     """
     decode_server("servers/i-1", msgspec.json.encode(GOOD_ROW))
     row = {**GOOD_ROW, **change}
@@ -215,7 +224,11 @@
 
 
 def test_headers_that_only_the_system_sets_do_not_pass():
-    """A caller sets the urgency of its own request, or takes memory."""
+    """Internal and hop-by-hop headers of a caller are not forwarded.
+
+    Guards against a caller that sets the urgency of its own request or
+    reserves memory of a server.
+    """
     sent = Headers(
         {
             b"X-Hold": [b"1"],
@@ -259,7 +272,7 @@
     "parts", [b"", b"x", b":", b"a:b", b"a:1,,b:", b"\xff:3", b"a:1:2"]
 )
 def test_prompts_that_cannot_be_read_do_not_stop_a_request(parts):
-    """The server judges what the caller sent; it is passed on as it is."""
+    """An invalid header is ignored; the server decides about the request."""
     facts = headers.read_caller(
         Headers({b"X-Prompt-Prefix": [parts], b"X-Deadline-Ms": [b"soon"]})
     )
@@ -268,7 +281,7 @@
 
 
 def test_the_demand_is_read_from_the_prompt_and_the_hint():
-    """The estimate of the caller replaces the most that it allows."""
+    """The length hint of the caller replaces a higher output maximum."""
     facts = headers.read_caller(
         Headers(
             {
@@ -286,6 +299,6 @@
 
 
 def test_a_value_that_is_no_base64_hides_no_other_entry():
-    """Guards against a listing that fails for one entry of another writer."""
+    """Guards against a listing that fails on one entry of another writer."""
     entry = decode_item(_Item("servers/x", "YWJ", 4))
     assert_that(entry, Equals(Entry("servers/x", b"", 4)))
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients towards a network that answers late, badly or not at all."""
+"""Clients on networks that delay or drop connections."""
 
 import pytest
 from testtools.assertions import assert_that
@@ -12,17 +12,17 @@
 
 
 class SilentAgent:
-    """An agent whose connections are never made.
+    """An agent whose connections are never established.
 
     Args:
-        raised: What a connection attempt that is given up fails with.
+        raised: Error of a connection attempt that is cancelled.
     """
 
     def __init__(self, raised):
         self.raised = raised
 
     def request(self, method, url, headers, body):
-        """Return a deferred that fires only when it is cancelled."""
+        """Return a deferred that fails only when it is cancelled."""
         return defer.Deferred(lambda made: made.errback(self.raised))
 
 
@@ -35,11 +35,11 @@
     ],
 )
 def test_platform_that_drops_connections_is_a_typed_failure(raised):
-    """A platform that cannot be connected to fails as one that is down.
+    """A platform that drops connections is reported as unavailable.
 
-    An operator would see a trace in the log and claims that are refused
-    without the outage being noted: connections are dropped rather than
-    refused, and giving up on one raises an error that nobody expects.
+    Guards against a traceback in the log and claims that are refused
+    without a record of the outage: connections are dropped instead of
+    refused, and cancelling the attempt raises an unexpected error.
     """
     clock = Clock()
     store = EtcdKeyValue("http://127.0.0.1:1", SilentAgent(raised), clock)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, over real sockets on one reactor."""
+"""End-to-end requests over real sockets on one reactor."""
 
 import msgspec
 import pytest_twisted
@@ -11,7 +11,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_whole_answer_is_served_at_home(fleet, caller):
-    """A request is answered whole by a server of its home region."""
+    """A server of the home region returns a complete response."""
     status, _, body = await caller.complete("dar-0", max_tokens=3)
     assert_that(status, Equals(200))
     answer = msgspec.json.decode(body)
@@ -22,7 +22,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_streamed_answer_ends_with_its_mark(caller):
-    """A streamed answer has every event and the end mark."""
+    """A streamed response contains all events and the end marker."""
     status, _, body = await caller.complete(
         "arusha-0", max_tokens=5, stream=True
     )
@@ -33,7 +33,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_plain_service_is_called_once(fleet, caller):
-    """A call of a plain service keeps its method, path and body."""
+    """A call of a plain service runs once, with its method, path and body."""
     status, _, body = await caller.send(
         "dar-0", "/services/rating/quote?x=1", b"lorry", b"PUT"
     )
@@ -47,7 +47,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_wrong_requests_get_typed_errors(caller):
-    """Each kind of wrong request is told apart, and was not run."""
+    """Each kind of invalid request has its own error, and is not run."""
     cases = [
         (b"{", 400, "bad_request", {}),
         (b'{"model":"x"}', 404, "unknown_model", {}),
@@ -88,7 +88,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_refused_file_points_to_its_line(fleet):
-    """A wrong file is refused with its line and leaves all as it was."""
+    """An invalid file is refused, and the response contains its line."""
     text = "workspaces:\n  quotes:\n    residency: [atlantis]\n"
     status, report = await fleet.put("20-bad.yaml", text)
     assert_that(status, Equals(409))
@@ -97,6 +97,6 @@
 
 
 def test_invariants_hold_in_optimised_runs():
-    """A broken invariant raises whatever the interpreter's options."""
+    """A broken invariant raises regardless of interpreter options."""
     with ExpectedException(InvariantError):
         ensure(False, "never")
