--- a/src/hyssopspring/config/validation.py
+++ b/src/hyssopspring/config/validation.py
@@ -94,9 +94,9 @@
         names = []
         for name in sorted(set(folder) | set(self.accepted.files)):
             raw = folder.get(name)
-            known = self.accepted.files.get(name)
+            previous = self.accepted.files.get(name)
             revision = raw.revision if raw else 0
-            if known is None or known.revision != revision:
+            if previous is None or previous.revision != revision:
                 names.append(name)
         return names
 
@@ -189,12 +189,12 @@
 
         The content that was accepted last stays in force.
         """
-        known = self.accepted.files.get(name)
+        previous = self.accepted.files.get(name)
         return FileState(
             revision=raw.revision if raw else 0,
             verdict=Verdict.REFUSED,
             generation=self.generation,
-            content=known.content if known else None,
+            content=previous.content if previous else None,
             line=problem.line,
             reason=problem.text,
         )
@@ -254,19 +254,19 @@
     Returns:
         The next `Accepted`, or `NOTHING` if it contains all of them.
     """
-    known = {**accepted.data_centres, **listed}
-    if known == accepted.data_centres:
+    data_centres = {**accepted.data_centres, **listed}
+    if data_centres == accepted.data_centres:
         return NOTHING
     generation = accepted.generation + 1
-    return replace(accepted, generation=generation, data_centres=known)
+    return replace(accepted, generation=generation, data_centres=data_centres)
 
 
 def forget_data_centre(accepted, name):
     """Return the `Accepted` after operators remove a data centre."""
-    known = dict(accepted.data_centres)
-    del known[name]
+    data_centres = dict(accepted.data_centres)
+    del data_centres[name]
     generation = accepted.generation + 1
-    return replace(accepted, generation=generation, data_centres=known)
+    return replace(accepted, generation=generation, data_centres=data_centres)
 
 
 def withdraw_proposal(accepted, unconfirmed):
@@ -285,14 +285,14 @@
     reason += ", ".join(sorted(unconfirmed))
     files = dict(accepted.files)
     for name, state in proposal.files.items():
-        known = accepted.files.get(name)
-        if state == known:
+        previous = accepted.files.get(name)
+        if state == previous:
             continue
         files[name] = replace(
             state,
             verdict=Verdict.REFUSED,
             generation=generation,
-            content=known.content if known else None,
+            content=previous.content if previous else None,
             line=state.line,
             reason=state.reason or reason,
         )
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -29,7 +29,7 @@
 )
 from ..core.pacing import Pacer
 from ..core.sentinels import NOTHING
-from ..stores.claimlogs import CLAIMS_PREFIX, MARK_TIMEOUT_SECONDS, ClaimLog
+from ..stores.claimlogs import CLAIMS_PREFIX, OUTCOME_TIMEOUT_SECONDS, ClaimLog
 from .clients import fetch
 from .control import SIGNATURE
 from .serving import header, respond, respond_error
@@ -252,7 +252,7 @@
             verdict = await self.ask_owner(owner, marked, OWNER_WITHIN)
             if verdict not in (NOTHING, Verdict.UNAVAILABLE):
                 return
-        await self.submit(marked, MARK_TIMEOUT_SECONDS)
+        await self.submit(marked, OUTCOME_TIMEOUT_SECONDS)
 
     def release_later(self, record, verdict):
         """Free a key whose claim may yet be written after we gave up.
--- a/src/hyssopspring/platform/directory.py
+++ b/src/hyssopspring/platform/directory.py
@@ -46,8 +46,8 @@
         if not addresses:
             respond(request, 503, {})
             return
-        answer = {"addresses": addresses, "ttl_s": TTL_SECONDS}
-        respond(request, 200, answer)
+        response = {"addresses": addresses, "ttl_s": TTL_SECONDS}
+        respond(request, 200, response)
 
 
 def argument(request, name):
--- a/src/hyssopspring/platform/store.py
+++ b/src/hyssopspring/platform/store.py
@@ -167,19 +167,19 @@
 
     async def read_changes(self, query, timeout):
         """Return the changes in the response to a watch request."""
-        answer = await self.read("/v1/kv-watch", query, _Events, timeout)
+        response = await self.read("/v1/kv-watch", query, _Events, timeout)
         return Changes(
             tuple(
                 decode_item(item)
-                for item in answer.events
+                for item in response.events
                 if not item.tombstone
             ),
             tuple(
                 Removal(item.key, item.revision)
-                for item in answer.events
+                for item in response.events
                 if item.tombstone
             ),
-            answer.store_revision,
+            response.store_revision,
         )
 
     async def grant_lease(self, seconds):
@@ -189,8 +189,8 @@
             KeyValueError: The store did not respond with success.
         """
         body = {"ttl_ms": int(seconds * 1000)}
-        answer = await self.call("POST", "/v1/kv-lease", body, _Lease)
-        return answer.lease
+        response = await self.call("POST", "/v1/kv-lease", body, _Lease)
+        return response.lease
 
     async def renew_lease(self, lease):
         """Renew a lease; return whether it still existed.
--- a/src/hyssopspring/stores/claimlogs.py
+++ b/src/hyssopspring/stores/claimlogs.py
@@ -31,13 +31,13 @@
 """Maximum number of records in one write."""
 
 UNAVAILABLE_PAUSE_SECONDS = 0.5
-"""Pause before marks are retried after the service failed."""
+"""Pause before outcome records are retried after the service failed."""
 
 CONFLICT_PAUSE_SECONDS = 0.01
 """Pause after another host won the race to write a shard."""
 
-MARK_TIMEOUT_SECONDS = 60.0
-"""Time after which an unwritten mark is dropped."""
+OUTCOME_TIMEOUT_SECONDS = 60.0
+"""Time after which an unwritten outcome record is dropped."""
 
 
 @dataclass(slots=True, eq=False)
@@ -118,8 +118,8 @@
 
         Returns:
             Deferred of a `Verdict`. It fires immediately with
-            `Verdict.UNAVAILABLE` if too many records wait, or if the record
-            is a claim and the service is down.
+            `Verdict.UNAVAILABLE` if too many records are pending, or if
+            the record is a claim and the service is known to be down.
         """
         full = len(self.pending) >= MAX_PENDING_RECORDS
         claim = record.mark is Mark.CLAIMED
@@ -328,7 +328,7 @@
 
         A claim that waited for the service to recover would block its
         caller until the deadline; the caller gets a retry time instead.
-        Marks stay pending, because no caller waits for them.
+        Records of outcomes stay pending, because no caller waits for them.
         """
         self.is_current = False
         if self.health.fail():
--- a/src/hyssopspring/stores/etcd.py
+++ b/src/hyssopspring/stores/etcd.py
@@ -55,8 +55,8 @@
         Raises:
             KeyValueError: The service sent no valid response.
         """
-        answer = await self.read({"key": encode(key)})
-        found = answer.get("kvs", [])
+        response = await self.read({"key": encode(key)})
+        found = response.get("kvs", [])
         return decode_entry(found[0]) if found else NOTHING
 
     async def list(self, prefix):
@@ -65,11 +65,11 @@
         Raises:
             KeyValueError: The service sent no valid response.
         """
-        answer = await self.read(
+        response = await self.read(
             {"key": encode(prefix), "range_end": encode(range_end(prefix))}
         )
         try:
-            return decode_listing(answer)
+            return decode_listing(response)
         except FAILURES as failure:
             raise KeyValueError(repr(failure)) from failure
 
@@ -116,14 +116,14 @@
             "failure": [{"request_range": {"key": encode(key)}}],
         }
         try:
-            answer = await self.call("/v3/kv/txn", body)
-            return decode_transaction(answer)
+            response = await self.call("/v3/kv/txn", body)
+            return decode_transaction(response)
         except FAILURES as failure:
             return WriteUnknown(repr(failure))
 
     async def call(self, path, body):
         """Send *body* with POST and return the decoded response."""
-        status, answer = await fetch_json(
+        status, response = await fetch_json(
             self.agent,
             b"POST",
             self.url + path,
@@ -133,7 +133,7 @@
         )
         if status != 200:
             raise ProtocolError(f"unexpected status {status} from {path}")
-        return answer
+        return response
 
     def watch(self, prefix, on_change):
         """Call *on_change* whenever a key under *prefix* may have changed.
@@ -239,16 +239,16 @@
     )
 
 
-def decode_listing(answer):
+def decode_listing(response):
     """Return the `Listing` of a response to a range request."""
-    entries = tuple(decode_entry(found) for found in answer.get("kvs", []))
-    return Listing(entries, int(answer["header"]["revision"]))
+    entries = tuple(decode_entry(found) for found in response.get("kvs", []))
+    return Listing(entries, int(response["header"]["revision"]))
 
 
-def decode_transaction(answer):
+def decode_transaction(response):
     """Return `Applied` or `NotApplied` for a response to a transaction."""
-    revision = int(answer["header"]["revision"])
-    if answer.get("succeeded", False):
+    revision = int(response["header"]["revision"])
+    if response.get("succeeded", False):
         return Applied(revision)
-    found = answer["responses"][0]["response_range"].get("kvs", [])
+    found = response["responses"][0]["response_range"].get("kvs", [])
     return NotApplied(decode_entry(found[0]) if found else NOTHING)
--- a/src/hyssopspring/stores/hosts.py
+++ b/src/hyssopspring/stores/hosts.py
@@ -90,9 +90,9 @@
         Raises:
             PlatformError: The platform sent no valid response.
         """
-        answer = await self.call(b"GET", "/hosts")
+        response = await self.call(b"GET", "/hosts")
         try:
-            rows = msgspec.convert(answer["hosts"], list[HostRow])
+            rows = msgspec.convert(response["hosts"], list[HostRow])
         except (msgspec.ValidationError, KeyError, TypeError) as error:
             raise PlatformError(f"invalid host list: {error}") from None
         return HostList(
@@ -116,7 +116,7 @@
                 status than 200.
         """
         try:
-            status, answer = await fetch_json(
+            status, response = await fetch_json(
                 self.agent,
                 method,
                 self.url + path,
@@ -128,4 +128,4 @@
             raise PlatformError(repr(failure)) from failure
         if status != 200:
             raise PlatformError(f"{path} returned status {status}")
-        return answer
+        return response
--- a/src/hyssopspring/stores/sync.py
+++ b/src/hyssopspring/stores/sync.py
@@ -151,7 +151,7 @@
         """Return the newest entry of the platform, or `NOTHING`.
 
         A host that has just started has no generation, and one that was
-        frozen or partitioned has an old one, so neither can detect a
+        suspended or partitioned has an old one, so neither can detect a
         stale read. Writing back the same value succeeds only if it is the
         newest; otherwise the response contains the newest one.
         """
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -94,7 +94,7 @@
 
 @dataclass
 class Fleet:
-    """Gateways, administration processes and the platform on a test clock."""
+    """Gateways, admin servers and the platform on a test clock."""
 
     clock: object = field(default_factory=Clock)
     store: object = field(default_factory=Store)
@@ -113,7 +113,7 @@
             reconciler = Reconciler(
                 client,
                 self,
-                Pages(self, NOTHING),
+                FakeControlClient(self, NOTHING),
                 self.clock,
                 Timeline("admin", HybridClock(self.clock.seconds)),
                 random.Random(number),
@@ -145,7 +145,9 @@
             Trust(self.clock.seconds()),
         )
         peers = PeerTable(name, region)
-        config_sync = ConfigSync(state, peers, client, Pages(self, name))
+        config_sync = ConfigSync(
+            state, peers, client, FakeControlClient(self, name)
+        )
         host = Host(name, region, client, state, peers, config_sync)
         host.started = boots
         if known:
@@ -186,7 +188,7 @@
             return False
         return one is NOTHING or not self.hosts[one].cut
 
-    def set_cut(self, name, cut):
+    def set_partitioned(self, name, cut):
         """Partition a gateway from everything, or end its partition."""
         host = self.hosts[name]
         if cut and not host.cut:
@@ -218,13 +220,13 @@
         for other in self.hosts.values():
             if other is host or not self.reaches(other.name, host.name):
                 continue
-            self.hear(host, other, now)
+            self.deliver_message(host, other, now)
         host.config_sync.tick()
         trust.neighbours = lambda at: host.peers.neighbours_agree(
             at, host.state.keeper.generation
         )
 
-    def hear(self, host, other, now):
+    def deliver_message(self, host, other, now):
         """Deliver a message of *other* to *host*."""
         generation = other.state.keeper.generation
         host.sequence += 1
@@ -280,7 +282,7 @@
         """Return the accepted configuration in the store."""
         return decode_accepted(self.store.current(ACCEPTED_KEY)[0])
 
-    def heal(self):
+    def clear_faults(self):
         """End all faults."""
         faults = self.store.faults
         faults.down = False
@@ -289,8 +291,8 @@
             host.client.cut = host.cut = False
 
 
-class Pages:
-    """Reads the signed pages of other hosts from one host."""
+class FakeControlClient:
+    """Control client of one host, which reads from the fleet directly."""
 
     def __init__(self, fleet, me):
         self.fleet = fleet
@@ -338,18 +340,18 @@
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def cut(self, name):
         """Partition a gateway from everything."""
-        self.fleet.set_cut(name, True)
+        self.fleet.set_partitioned(name, True)
 
     @rule(region=st.sampled_from(REGIONS))
     def cut_data_centre(self, region):
         """Partition both gateways of a data centre."""
         for number in range(2):
-            self.fleet.set_cut(f"{region}-{number}", True)
+            self.fleet.set_partitioned(f"{region}-{number}", True)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def mend(self, name):
         """End the partition of a gateway."""
-        self.fleet.set_cut(name, False)
+        self.fleet.set_partitioned(name, False)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def restart(self, name):
@@ -377,7 +379,7 @@
 
     def teardown(self):
         """Assert that files are validated on all hosts after the faults."""
-        self.fleet.heal()
+        self.fleet.clear_faults()
         self.fleet.advance(25)
         truth = self.fleet.truth()
         assert truth.proposal is None
@@ -409,7 +411,7 @@
     )
 
 
-def judged(*files):
+def validate_in_order(*files):
     """Return the `Accepted` after files are written one after the other."""
     accepted = Accepted()
     folder = {}
@@ -438,7 +440,7 @@
 
 def test_refusal_keeps_the_last_accepted_content():
     """An invalid revision is refused and the accepted content stays."""
-    accepted = judged(
+    accepted = validate_in_order(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "workspaces: {w: {deadline_ms: 5000}}"),
         ("20-team.yaml", "workspaces:\n  w: {deadline_ms: soon}"),
@@ -453,7 +455,7 @@
 
 def test_removal_that_breaks_another_file_is_refused():
     """The removal of a file that another file depends on is refused."""
-    accepted = judged(
+    accepted = validate_in_order(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "models: {n: {fallback: [m]}}"),
     )
@@ -479,11 +481,11 @@
 def test_older_reading_of_the_folder_is_not_proposed():
     """A stale read of the folder does not restore old contents.
 
-    Guards against a removed file coming back into force: one
-    administration process reads the folder from a lagging replica after
-    another one has accepted the removal.
+    Guards against a removed file coming back into force: one admin server
+    reads the folder from a lagging replica after another one has accepted
+    the removal.
     """
-    accepted = judged(
+    accepted = validate_in_order(
         ("10-base.yaml", BASE), ("20-team.yaml", "models: {n: {}}")
     )
     old = {"10-base.yaml": RawFile(BASE, 1)}
@@ -502,7 +504,7 @@
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
     for number in range(2):
-        fleet.set_cut(f"arusha-{number}", True)
+        fleet.set_partitioned(f"arusha-{number}", True)
     fleet.advance(5)
     fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
     fleet.advance(8)
@@ -568,11 +570,11 @@
         fleet = Fleet(lag=lag)
         fleet.put("10-base.yaml", BASE)
         fleet.advance(5)
-        fleet.set_cut("arusha-1", True)
+        fleet.set_partitioned("arusha-1", True)
         fleet.advance(before)
         fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
         fleet.advance(10)
-        fleet.set_cut("arusha-1", False)
+        fleet.set_partitioned("arusha-1", False)
         fleet.advance(5)
         truth = fleet.truth()
         assert fleet.hosts["arusha-1"].state.keeper.accepted == truth
@@ -593,7 +595,7 @@
     reaches = fleet.reaches
     together = {"dar-0", "mwanza-0"}
     for name in together:
-        fleet.set_cut(name, True)
+        fleet.set_partitioned(name, True)
     fleet.reaches = lambda one, other: (
         {one, other} <= together or reaches(one, other)
     )
@@ -612,7 +614,7 @@
     fleet = Fleet(lag=0.0)
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
-    fleet.set_cut("arusha-1", True)
+    fleet.set_partitioned("arusha-1", True)
     fleet.advance(4)
     fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
     fleet.advance(6)
@@ -620,7 +622,7 @@
     now = fleet.clock.seconds()
     host.state.trust.hear_direct(now, now)
     fleet.check_rights()
-    fleet.set_cut("arusha-1", False)
+    fleet.set_partitioned("arusha-1", False)
     fleet.store.faults.stale = 3
     fleet.advance(6)
     assert_that(host.state.keeper.generation, Equals(fleet.truth().generation))
@@ -650,7 +652,7 @@
     fleet.read = unreadable
     fleet.advance(30)
     assert_that(set(levels(fleet).values()), Equals({Level.FULL}))
-    fleet.set_cut("arusha-1", True)
+    fleet.set_partitioned("arusha-1", True)
     fleet.advance(3)
     found = levels(fleet)
     assert_that(found["arusha-0"], Equals(Level.HOME_ONLY))
@@ -691,12 +693,12 @@
     assert_that(keeper.generation, Equals(3))
 
 
-def test_thawed_host_uses_home_rights_only_until_it_has_asked():
-    """A host that was frozen serves only workspaces of its own region.
+def test_resumed_host_uses_home_rights_only_until_it_is_verified():
+    """A suspended host serves only its home workspaces after it resumes.
 
     Guards against data being served in an excluded region: the host was
-    frozen while the restriction came into force without it, continues to
-    run, and serves the first request before it receives any message.
+    suspended while the restriction came into force without it, resumes,
+    and serves the first request before it receives any message.
     """
     trust = Trust(0.0)
     everywhere = frozenset(REGIONS)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -14,8 +14,8 @@
     """A server of the home region returns a complete response."""
     status, _, body = await caller.complete("dar-0", max_tokens=3)
     assert_that(status, Equals(200))
-    answer = msgspec.json.decode(body)
-    assert_that(answer["usage"]["completion_tokens"], Equals(3))
+    response = msgspec.json.decode(body)
+    assert_that(response["usage"]["completion_tokens"], Equals(3))
     ran = sum(len(engine.ran) for engine in fleet.engines.values())
     assert_that(ran, Equals(1))
 
@@ -38,10 +38,10 @@
         "dar-0", "/services/rating/quote?x=1", b"lorry", b"PUT"
     )
     assert_that(status, Equals(200))
-    answer = msgspec.json.decode(body)
-    assert_that(answer["method"], Equals("PUT"))
-    assert_that(answer["path"], Equals("/quote?x=1"))
-    assert_that(answer["body"], Equals("lorry"))
+    response = msgspec.json.decode(body)
+    assert_that(response["method"], Equals("PUT"))
+    assert_that(response["path"], Equals("/quote?x=1"))
+    assert_that(response["body"], Equals("lorry"))
     assert_that(fleet.services["dar-service-0"].ran, HasLength(1))
 
 
