--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -66,7 +66,9 @@
         router = Router(self.note_failure)
         self.api.add_routes(router)
         site = LimitedSite(
-            router.resource(), longest=LONGEST_FILE, reactor=self.reactor
+            router.resource(),
+            max_request_bytes=LONGEST_FILE,
+            reactor=self.reactor,
         )
         host, port = split_address(self.settings.listen)
         self.port = self.reactor.listenTCP(port, site, interface=host)
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -158,7 +158,7 @@
         outcome = NOTHING
         while True:
             outcome = await self.next_try()
-            if self.sink.gone or not self.goes_on(outcome):
+            if self.sink.disconnected or not self.goes_on(outcome):
                 break
         self.conclude(outcome)
         self.close()
@@ -170,7 +170,7 @@
         if refusal is not NOTHING:
             return refusal
         number, decision = await self.placed()
-        if self.sink.gone or self.time_left < LEAST_TIME:
+        if self.sink.disconnected or self.time_left < LEAST_TIME:
             self.state.asking.note_end(number, Finding.UNUSED)
             return NotRun(Reason.DEADLINE, CONNECT_RETRY_AFTER)
         refusal = self.refused_for_crashes()
@@ -469,7 +469,7 @@
         """
         if not self.sink.started:
             self.sink.start(answer.status, answer.headers)
-        self.sink.pausing(response._transport)
+        self.sink.set_producer(response._transport)
         return self.take_events
 
     def take_events(self, events):
@@ -588,7 +588,7 @@
 
     def conclude(self, outcome):
         """Deliver the final outcome."""
-        if self.sink.finished or self.sink.gone:
+        if self.sink.finished or self.sink.disconnected:
             self.note_end("gone")
             return
         if isinstance(outcome, Answered):
@@ -616,7 +616,7 @@
 
     def deliver_whole(self, answer):
         """Send a whole answer of a server."""
-        self.sink.whole(answer.status, answer.headers, answer.body)
+        self.sink.send_whole(answer.status, answer.headers, answer.body)
         self.note_end("answered", answer.status)
 
     def note_end(self, how, status=0):
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -256,7 +256,7 @@
             placed_by=self.state.asking.placer_of(number),
             **notice_details(decision),
         )
-        if self.sink.gone or self.refuse_for_crashes():
+        if self.sink.disconnected or self.refuse_for_crashes():
             self.state.asking.note_end(number, Finding.UNUSED)
             return
         outcome = await self.carry(number, decision, facts)
@@ -331,7 +331,7 @@
     def open_stream(self, answer, response):
         """Pass the head of a stream on; return what takes its events."""
         self.sink.start(answer.status, self.marked(answer.headers))
-        self.sink.pausing(response._transport)
+        self.sink.set_producer(response._transport)
         return self.sink.write
 
     def marked(self, headers):
@@ -359,7 +359,7 @@
                 self.sink.abort()
         elif isinstance(outcome, Answered):
             answer = self.attempt.answer
-            self.sink.whole(
+            self.sink.send_whole(
                 answer.status, self.marked(answer.headers), answer.body
             )
         elif isinstance(outcome, Unknown):
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -21,11 +21,11 @@
 from .net.claiming import Claims
 from .net.clients import make_agent
 from .net.control import ControlPages, HostStatus, PageReader
-from .net.crashes import CRASH_TOPIC, CallCrashes
+from .net.crashdetection import CRASH_TOPIC, CallCrashDetector
 from .net.dispatching import Dispatcher, HostState
 from .net.draining import Drain
 from .net.forwarding import ForwardedApi
-from .net.gates import Gates
+from .net.interceptors import Interceptors
 from .net.limiting import Limits
 from .net.membership import Membership
 from .net.messages import CallSuspects, Signer
@@ -92,7 +92,7 @@
             rng=make_rng(seed),
             policy=settings.policy,
             trust=Trust(self.reactor.seconds()),
-            crashes=CallCrashes(
+            crash_detector=CallCrashDetector(
                 settings.host,
                 self.reactor,
                 self.timeline,
@@ -136,12 +136,12 @@
             self.wall,
             failed=self.note_failure,
         )
-        self.gates = Gates(self.limits, self.claims)
+        self.interceptors = Interceptors(self.limits, self.claims)
         self.callers = CallerApi(
             self.state,
             self.dispatcher,
             self.drain,
-            self.gates,
+            self.interceptors,
             self.entry_hosts,
         )
         self.forwarded = ForwardedApi(
@@ -179,7 +179,7 @@
     def take_message(self, message):
         """Hand a message of another host over."""
         if isinstance(message, CallSuspects):
-            self.state.crashes.take(message)
+            self.state.crash_detector.handle_message(message)
         else:
             self.membership.hear(message)
 
@@ -238,7 +238,7 @@
         self.follower.tick()
         self.config.tick()
         self.membership.tick()
-        self.state.crashes.tick()
+        self.state.crash_detector.tick()
         self.claims.tick()
         self.limits.tick()
         self.note_trust()
@@ -364,7 +364,7 @@
         withdrawn.addErrback(lambda reason: reason.trap(PlatformError))
         await task.deferLater(self.reactor, self.settings.drain_seconds)
         self.drain.refusing = True
-        await self.drain.finished()
+        await self.drain.wait_until_idle()
         await self.close()
         self.timeline.note(EventKind.STOPPED)
 
--- a/src/hyssopspring/net/answers.py
+++ b/src/hyssopspring/net/answers.py
@@ -8,7 +8,7 @@
 from .serving import respond_error
 from .sinks import AnswerSink, first_value
 
-STATUS = {
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.BAD_DEADLINE: 400,
     Reason.UNKNOWN_WORKSPACE: 401,
@@ -28,9 +28,9 @@
 NOT_RUN_STATUS = 503
 UNKNOWN_STATUS = 502
 DEADLINE_STATUS = 504
-CALLER_FAULTS = range(400, 409)
+CALLER_ERROR_STATUSES = range(400, 409)
 
-MESSAGES = {
+MESSAGE_BY_REASON = {
     Reason.UNKNOWN_WORKSPACE: "the key belongs to no workspace",
     Reason.UNKNOWN_MODEL: "no such model",
     Reason.UNKNOWN_SERVICE: "no such service",
@@ -58,13 +58,13 @@
         headers: Names and values that each answer carries.
 
     Attributes:
-        first_at: Time of the first part of the body, or `NOTHING`.
+        first_body_at: Time of the first part of the body, or `NOTHING`.
     """
 
     def __init__(self, request, clock, headers=()):
         super().__init__(request, headers)
         self.clock = clock
-        self.first_at = NOTHING
+        self.first_body_at = NOTHING
 
     def start(self, status, headers, length=NOTHING):
         """Send the head of an answer, once."""
@@ -74,8 +74,8 @@
     def write(self, data):
         """Send a part of the body, and note when the first left."""
         ensure(self.started, "a body without a head")
-        if self.first_at is NOTHING:
-            self.first_at = self.clock.seconds()
+        if self.first_body_at is NOTHING:
+            self.first_body_at = self.clock.seconds()
         super().write(data)
 
     def fail(self, outcome):
@@ -95,21 +95,23 @@
 
 def respond_outcome(request, outcome):
     """Answer with a `NotRun` or an `Unknown`."""
-    message = MESSAGES.get(outcome.reason, outcome.reason.replace("_", " "))
+    message = MESSAGE_BY_REASON.get(
+        outcome.reason, outcome.reason.replace("_", " ")
+    )
     headers = [("hyssop-reason", outcome.reason)]
     if isinstance(outcome, NotRun):
-        status = STATUS.get(outcome.reason, NOT_RUN_STATUS)
+        status = STATUS_BY_REASON.get(outcome.reason, NOT_RUN_STATUS)
         kind = "not_run"
         headers.append(("hyssop-outcome", "not-run"))
-        if status not in CALLER_FAULTS:
+        if status not in CALLER_ERROR_STATUSES:
             wait = str(max(1, math.ceil(outcome.retry_after)))
             headers.append(("retry-after", wait))
     elif isinstance(outcome, Repeated):
-        status = STATUS[outcome.reason]
+        status = STATUS_BY_REASON[outcome.reason]
         kind = "repeated"
         headers.append(("hyssop-outcome", "repeated"))
     else:
-        status = STATUS.get(outcome.reason, UNKNOWN_STATUS)
+        status = STATUS_BY_REASON.get(outcome.reason, UNKNOWN_STATUS)
         if outcome.reason is Reason.DEADLINE:
             status = DEADLINE_STATUS
         kind = "unknown"
@@ -119,7 +121,7 @@
     )
 
 
-def read_outcome(response):
+def parse_outcome(response):
     """Return the outcome that a peer's answer states, or `NOTHING`.
 
     An answer without a word on its outcome is a peer's own failure, in
--- a/src/hyssopspring/net/backends.py
+++ b/src/hyssopspring/net/backends.py
@@ -24,15 +24,15 @@
 END_MARK = b"data: [DONE]"
 EVENT_END = b"\n\n"
 EVENT_ID = b"id: "
-MOST_RESUMES = 3
-RESUME_PAUSE = 0.05
-CANCEL_TIMEOUT = 2.0
+MAX_RESUMES = 3
+RESUME_DELAY_SECONDS = 0.05
+CANCEL_TIMEOUT_SECONDS = 2.0
 NOT_RUN_HEADER = b"hyssop-not-run"
-PASSED_HEADERS = (b"content-type",)
+RELAYED_HEADERS = (b"content-type",)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Call:
+class OutgoingRequest:
     """What an attempt sends.
 
     Attributes:
@@ -60,7 +60,7 @@
     refusal: Callable = NOTHING
 
 
-class WrittenProducer(FileBodyProducer):
+class WriteTrackingProducer(FileBodyProducer):
     """A body that knows whether any byte of the request was written.
 
     The headers are written just before the body is started, so a body
@@ -85,31 +85,31 @@
         timeline: The `Timeline`.
     """
 
-    def __init__(self, pooled, fresh, clock, timeline):
+    def __init__(self, pooled, unpooled, clock, timeline):
         self.pooled = pooled
-        self.fresh = fresh
+        self.unpooled = unpooled
         self.clock = clock
         self.timeline = timeline
 
-    def send(self, call, sink, *, deadline, loaded):
+    def send(self, call, sink, *, deadline, on_load):
         """Carry out one attempt.
 
         Args:
-            call: The `Call`.
+            call: The `OutgoingRequest`.
             sink: Where the answer goes; it offers ``start(status,
                 headers, length=NOTHING)``, ``write(data)`` and
-                ``pausing(producer)``.
+                ``set_producer(producer)``.
             deadline: Time on the clock by which it must have ended.
-            loaded: Called with the load that rides on the answer.
+            on_load: Called with the load that rides on the answer.
 
         Returns:
             Deferred of an outcome. Cancelling it abandons the attempt.
         """
-        attempt = _Attempt(self, call, sink, loaded, deadline)
+        attempt = _Attempt(self, call, sink, on_load, deadline)
         work = defer.ensureDeferred(attempt.run())
         remaining = max(0.001, deadline - self.clock.seconds())
         work.addTimeout(remaining, self.clock)
-        work.addErrback(attempt.failed)
+        work.addErrback(attempt.to_outcome)
         return work
 
     def cancel(self, call):
@@ -120,8 +120,8 @@
         """
         if not call.resume_url:
             return
-        work = self.fresh.request(b"DELETE", call.resume_url)
-        work.addTimeout(CANCEL_TIMEOUT, self.clock)
+        work = self.unpooled.request(b"DELETE", call.resume_url)
+        work.addTimeout(CANCEL_TIMEOUT_SECONDS, self.clock)
         work.addCallback(read_body)
         work.addErrback(lambda _: None)
 
@@ -129,14 +129,14 @@
 class _Attempt:
     """One attempt in progress."""
 
-    def __init__(self, client, call, sink, loaded, deadline):
+    def __init__(self, client, call, sink, on_load, deadline):
         self.client = client
         self.call = call
         self.sink = sink
-        self.loaded = loaded
+        self.on_load = on_load
         self.deadline = deadline
         self.producer = NOTHING
-        self.answered = False
+        self.complete = False
         self.started = False
         self.ended = False
         self.last_event = -1
@@ -145,20 +145,20 @@
     async def run(self):
         """Send the request and take the answer."""
         response = await self.request()
-        self.take_load(response)
-        judge = self.call.refusal or refused_by_server
-        refusal = judge(response)
+        self.report_load(response)
+        find_refusal = self.call.refusal or parse_refusal
+        refusal = find_refusal(response)
         if refusal is not NOTHING:
             await self.discard(response)
             self.ended = True
             return refusal
-        self.check_echo(response)
+        self.check_request_id(response)
         if response.code >= 500:
             await self.discard(response)
             return Unknown(Reason.SERVER_ERROR)
         if self.call.stream and response.code == 200:
-            return await self.take_stream(response)
-        return await self.take_whole(response)
+            return await self.receive_stream(response)
+        return await self.receive_whole(response)
 
     def request(self):
         """Start the request.
@@ -169,9 +169,9 @@
         fails before anything is written.
         """
         call = self.call
-        agent = self.client.pooled if call.repeatable else self.client.fresh
-        self.producer = WrittenProducer(
-            BytesIO(call.body), cooperator=_AtOnce()
+        agent = self.client.pooled if call.repeatable else self.client.unpooled
+        self.producer = WriteTrackingProducer(
+            BytesIO(call.body), cooperator=_ImmediateCooperator()
         )
         headers = Headers()
         for name, value in call.headers:
@@ -183,13 +183,13 @@
         """Read and drop the rest of an answer."""
         await read_body(response)
 
-    def take_load(self, response):
+    def report_load(self, response):
         """Pass on the load report that rides on the answer."""
         values = response.headers.getRawHeaders(b"x-load")
         if values:
-            self.loaded(values[0])
+            self.on_load(values[0])
 
-    def check_echo(self, response):
+    def check_request_id(self, response):
         """Check that the answer is to this attempt.
 
         Raises:
@@ -199,29 +199,29 @@
         if not values or values[0] != self.call.id.encode():
             raise ProtocolError("the answer is to another request")
 
-    async def take_whole(self, response):
+    async def receive_whole(self, response):
         """Buffer the answer, check it and hand it over."""
         body = await read_body(response)
-        self.answered = True
+        self.complete = True
         if self.call.resume_url and not is_json(body):
             raise ProtocolError("the answer is no JSON")
         self.ended = True
-        headers = pass_headers(response)
+        headers = select_headers(response)
         self.sink.start(response.code, headers, length=len(body))
         self.sink.write(body)
         return Answered(response.code)
 
-    async def take_stream(self, response):
+    async def receive_stream(self, response):
         """Pass events on until the end mark; resume after a cut."""
         while True:
             if not self.started:
                 self.started = True
-                self.sink.start(response.code, pass_headers(response))
+                self.sink.start(response.code, select_headers(response))
             reader = _EventReader(self)
             response.deliverBody(reader)
-            self.sink.pausing(reader.transport)
+            self.sink.set_producer(reader.transport)
             await reader.done
-            if self.answered:
+            if self.complete:
                 self.ended = True
                 return Answered(response.code)
             response = await self.resume()
@@ -236,17 +236,17 @@
         """
         if self.last_event < 0 or not self.call.resume_url:
             return NOTHING
-        while self.resumes < MOST_RESUMES:
+        while self.resumes < MAX_RESUMES:
             self.resumes += 1
-            await self.pause()
+            await self.wait_before_retry()
             try:
-                response = await self.ask_rest()
+                response = await self.request_remaining()
             except (error.ConnectError, ResponseFailed):
                 continue
             if response.code != 200:
                 await self.discard(response)
                 return NOTHING
-            self.check_echo(response)
+            self.check_request_id(response)
             self.client.timeline.note(
                 EventKind.RESUMED,
                 request=self.call.id,
@@ -255,22 +255,24 @@
             return response
         return NOTHING
 
-    def ask_rest(self):
+    def request_remaining(self):
         """Request the events after the last one that came whole."""
         last = str(self.last_event).encode()
         headers = Headers({b"last-event-id": [last]})
-        return self.client.fresh.request(b"GET", self.call.resume_url, headers)
+        return self.client.unpooled.request(
+            b"GET", self.call.resume_url, headers
+        )
 
-    def pause(self):
+    def wait_before_retry(self):
         """Wait a little before the next try."""
         waited = defer.Deferred()
         call = self.client.clock.callLater(
-            RESUME_PAUSE * self.resumes, waited.callback, None
+            RESUME_DELAY_SECONDS * self.resumes, waited.callback, None
         )
         waited._canceller = lambda _: call.cancel()
         return waited
 
-    def failed(self, failure):
+    def to_outcome(self, failure):
         """Turn a failure into the outcome that it allows."""
         if not self.ended and self.written:
             self.client.cancel(self.call)
@@ -314,21 +316,21 @@
     def dataReceived(self, data):
         """Pass on what is whole."""
         buffer = self.buffer + data
-        cut = buffer.rfind(EVENT_END)
-        if cut < 0:
+        end = buffer.rfind(EVENT_END)
+        if end < 0:
             self.buffer = buffer
             return
-        cut += len(EVENT_END)
-        self.buffer = buffer[cut:]
-        self.take(buffer[:cut])
+        end += len(EVENT_END)
+        self.buffer = buffer[end:]
+        self.handle_events(buffer[:end])
 
-    def take(self, events):
+    def handle_events(self, events):
         """Note number and end mark of whole events, and pass them on."""
         last = last_event_id(events)
         if last >= 0:
             self.attempt.last_event = last
         if events.endswith(END_MARK + EVENT_END):
-            self.attempt.answered = True
+            self.attempt.complete = True
         self.attempt.sink.write(events)
 
     def connectionLost(self, reason):
@@ -342,15 +344,15 @@
             self.transport.loseConnection()
 
 
-class _AtOnce:
+class _ImmediateCooperator:
     """Cooperator that writes a body in one go; bodies are in memory."""
 
     def cooperate(self, iterator):
         """Run *iterator* to its end."""
-        return _Done(iterator)
+        return _CompletedTask(iterator)
 
 
-class _Done:
+class _CompletedTask:
     """Task of a body that has been written."""
 
     def __init__(self, iterator):
@@ -385,7 +387,7 @@
     return int(digits) if digits.isdigit() else -1
 
 
-def refused_by_server(response):
+def parse_refusal(response):
     """Return `NotRun` if the server says that it did not run it."""
     values = response.headers.getRawHeaders(NOT_RUN_HEADER)
     if values:
@@ -397,11 +399,11 @@
     return NOTHING
 
 
-def pass_headers(response):
+def select_headers(response):
     """Return the headers of an answer that callers get."""
     return [
         (name, value)
-        for name in PASSED_HEADERS
+        for name in RELAYED_HEADERS
         for value in response.headers.getRawHeaders(name, [])
     ]
 
@@ -415,15 +417,15 @@
     return True
 
 
-def backend_call(request, attempt, target, address, message):
-    """Return the `Call` of an attempt at a backend server.
+def build_backend_request(request, attempt, target, address, message):
+    """Return the `OutgoingRequest` of an attempt at a backend server.
 
     Args:
         request: The `Request`.
         attempt: Identifier of the attempt.
         target: Target, maybe a fallback of the requested one.
         address: Address of the server as ``ip:port``.
-        message: The caller's `Message`.
+        message: The caller's `CallerMessage`.
     """
     base = b"http://" + address.encode()
     headers = [
@@ -435,7 +437,7 @@
     resume_url = b""
     if target.kind is TargetKind.MODEL:
         resume_url = base + b"/v1/streams/" + attempt.encode()
-    return Call(
+    return OutgoingRequest(
         id=attempt,
         method=message.method,
         url=base + message.resource,
@@ -448,7 +450,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class CallerMessage:
     """The HTTP part of a caller's request.
 
     Attributes:
@@ -463,9 +465,9 @@
     content_type: bytes
     body: bytes
 
-    def body_for(self, target, asked):
+    def body_for(self, target, requested):
         """Return the body, naming *target* if it is a fallback."""
-        if target == asked:
+        if target == requested:
             return self.body
         values = msgspec.json.decode(self.body)
         values["model"] = target.name
--- a/src/hyssopspring/net/callers.py
+++ b/src/hyssopspring/net/callers.py
@@ -11,20 +11,20 @@
 from ..core.requests import Priority, Request, Target, TargetKind
 from ..core.sentinels import NOTHING
 from .answers import Sink, respond_outcome
-from .backends import Message
+from .backends import CallerMessage
 from .serving import header, respond_json
 
-PREFIX_CHARACTERS = 256
-SERVICES = b"/services/"
+PREFIX_BYTES = 256
+SERVICES_PATH = b"/services/"
 PRIORITIES = {
     "interactive": Priority.INTERACTIVE,
     "normal": Priority.NORMAL,
     "batch": Priority.BATCH,
 }
-LONGEST_KEY = 255
+MAX_KEY_CHARACTERS = 255
 
 
-class Refused(Exception):  # noqa: N818 - an outcome, not a fault of ours
+class RequestRejected(Exception):  # noqa: N818 - an outcome, not a fault of ours
     """A request that ends before any attempt.
 
     Attributes:
@@ -36,7 +36,7 @@
         self.outcome = NotRun(reason, retry_after)
 
 
-class ChatBody(msgspec.Struct):
+class CompletionBody(msgspec.Struct):
     """What the gateway reads of a body; engines read the rest."""
 
     model: str
@@ -52,17 +52,17 @@
         state: The `HostState`.
         dispatcher: The `Dispatcher`.
         drain: The `Drain`.
-        gates: `Gates` that a request passes before its first attempt.
+        interceptors: `Interceptors` that run before the first attempt.
         entry_hosts: Called for the list of hosts to use.
     """
 
-    def __init__(self, state, dispatcher, drain, gates, entry_hosts):
+    def __init__(self, state, dispatcher, drain, interceptors, entry_hosts):
         self.state = state
         self.dispatcher = dispatcher
         self.drain = drain
-        self.gates = gates
+        self.interceptors = interceptors
         self.entry_hosts = entry_hosts
-        self.body_decoder = msgspec.json.Decoder(ChatBody)
+        self.body_decoder = msgspec.json.Decoder(CompletionBody)
 
     def add_routes(self, router):
         """Add the paths for callers."""
@@ -95,9 +95,9 @@
     def list_models(self, http_request):
         """Answer with the models that the caller may use."""
         try:
-            workspace = self.identify(http_request)
-        except Refused as refused:
-            respond_outcome(http_request, refused.outcome)
+            workspace = self.authenticate(http_request)
+        except RequestRejected as rejection:
+            respond_outcome(http_request, rejection.outcome)
             return
         configuration = self.state.keeper.enforced
         names = [
@@ -115,13 +115,13 @@
 
     async def model_call(self, http_request):
         """Serve a completion or a chat completion."""
-        await self.serve(http_request, self.read_model_call)
+        await self.serve(http_request, self.parse_model_call)
 
     async def service_call(self, http_request):
         """Serve a call of a plain service."""
-        await self.serve(http_request, self.read_service_call)
+        await self.serve(http_request, self.parse_service_call)
 
-    async def serve(self, http_request, read):
+    async def serve(self, http_request, parse):
         """Read a request, pass it through the gates and carry it out."""
         identifier = uuid.uuid4().hex
         sink = Sink(
@@ -130,17 +130,19 @@
             [(b"hyssop-request-id", identifier.encode())],
         )
         try:
-            request, message = read(http_request, identifier)
-        except Refused as refused:
-            sink.fail(refused.outcome)
+            request, message = parse(http_request, identifier)
+        except RequestRejected as rejection:
+            sink.fail(rejection.outcome)
             return
-        gone = http_request.notifyFinish()
-        gone.addErrback(lambda _: self.dispatcher.abandon(identifier))
-        with self.drain.working():
-            outcome = await self.carry_out(request, message, sink)
-            self.conclude(request, outcome, sink)
+        disconnected = http_request.notifyFinish()
+        disconnected.addErrback(
+            lambda _: self.dispatcher.cancel_request(identifier)
+        )
+        with self.drain.track_request():
+            outcome = await self.execute(request, message, sink)
+            self.finish_response(request, outcome, sink)
 
-    async def carry_out(self, request, message, sink):
+    async def execute(self, request, message, sink):
         """Return the outcome of a request that was read."""
         self.state.timeline.note(
             EventKind.REQUEST,
@@ -148,11 +150,11 @@
             workspace=request.workspace,
             target=request.target.name,
         )
-        return await self.gates.carry_out(
+        return await self.interceptors.intercept(
             request, lambda: self.dispatcher.run(request, message, sink)
         )
 
-    def conclude(self, request, outcome, sink):
+    def finish_response(self, request, outcome, sink):
         """End the answer, or tell the caller why there is none."""
         if isinstance(outcome, Answered):
             sink.finish()
@@ -166,7 +168,7 @@
             details = {"reason": outcome.reason}
         self.state.timeline.note(kind, request=request.id, **details)
 
-    def identify(self, http_request):
+    def authenticate(self, http_request):
         """Return the workspace of the caller's key.
 
         Raises:
@@ -175,27 +177,27 @@
         """
         keeper = self.state.keeper
         if not keeper.generation:
-            raise Refused(Reason.NO_CONFIGURATION)
+            raise RequestRejected(Reason.NO_CONFIGURATION)
         scheme, _, key = header(http_request, "authorization").partition(" ")
         digest = credential_digest(key.encode())
         workspace = keeper.key_owners.get(digest)
         if scheme.lower() != "bearer" or workspace is None:
-            raise Refused(Reason.UNKNOWN_WORKSPACE)
+            raise RequestRejected(Reason.UNKNOWN_WORKSPACE)
         return workspace
 
-    def read_model_call(self, http_request, identifier):
-        """Return the `Request` and the `Message` of a model call."""
-        workspace = self.identify(http_request)
+    def parse_model_call(self, http_request, identifier):
+        """Return the `Request` and the `CallerMessage` of a model call."""
+        workspace = self.authenticate(http_request)
         http_request.content.seek(0)
         body = http_request.content.read()
         try:
             values = self.body_decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError):
-            raise Refused(Reason.BAD_REQUEST) from None
+            raise RequestRejected(Reason.BAD_REQUEST) from None
         target = Target(TargetKind.MODEL, values.model)
         if self.state.keeper.enforced.offer(target) is NOTHING:
-            raise Refused(Reason.UNKNOWN_MODEL)
-        message = Message(
+            raise RequestRejected(Reason.UNKNOWN_MODEL)
+        message = CallerMessage(
             b"POST", http_request.path, b"application/json", body
         )
         request = self.resolve(
@@ -204,20 +206,20 @@
             workspace,
             target,
             stream=values.stream,
-            prefix=prefix_of(values),
+            prefix=hash_prompt_prefix(values),
         )
         return request, message
 
-    def read_service_call(self, http_request, identifier):
-        """Return the `Request` and the `Message` of a service call."""
-        workspace = self.identify(http_request)
-        rest = http_request.uri[len(SERVICES) :]
-        name, _, resource = rest.partition(b"/")
+    def parse_service_call(self, http_request, identifier):
+        """Return the `Request` and the `CallerMessage` of a service call."""
+        workspace = self.authenticate(http_request)
+        suffix = http_request.uri[len(SERVICES_PATH) :]
+        name, _, resource = suffix.partition(b"/")
         target = Target(TargetKind.SERVICE, name.decode("utf-8", "replace"))
         if self.state.keeper.enforced.offer(target) is NOTHING:
-            raise Refused(Reason.UNKNOWN_SERVICE)
+            raise RequestRejected(Reason.UNKNOWN_SERVICE)
         http_request.content.seek(0)
-        message = Message(
+        message = CallerMessage(
             http_request.method,
             b"/" + resource,
             header(http_request, "content-type", "text/plain").encode(),
@@ -242,24 +244,24 @@
             Refused: Nothing may serve it, or a header is wrong.
         """
         if self.drain.refusing:
-            raise Refused(Reason.LEAVING)
+            raise RequestRejected(Reason.LEAVING)
         configuration = self.state.keeper.enforced
-        rights = configuration.workspaces[workspace]
+        permissions = configuration.workspaces[workspace]
         offer = configuration.offer(target)
-        most = min(rights.deadline_ms, offer.deadline_ms)
-        seconds = read_deadline(http_request, most)
+        max_ms = min(permissions.deadline_ms, offer.deadline_ms)
+        seconds = parse_deadline(http_request, max_ms)
         return Request(
             id=identifier,
             workspace=workspace,
             target=target,
             residency=self.resolve_residency(http_request, workspace, target),
-            home=rights.home,
+            home=permissions.home,
             deadline=self.state.clock.seconds() + seconds,
-            priority=read_priority(http_request),
-            repeatable=self.may_repeat(http_request, workspace, target),
-            key=read_key(http_request),
+            priority=parse_priority(http_request),
+            repeatable=self.is_repeatable(http_request, workspace, target),
+            key=parse_idempotency_key(http_request),
             prefix=prefix,
-            attempts=min(rights.attempts, offer.attempts),
+            attempts=min(permissions.attempts, offer.attempts),
             fallbacks=configuration.fallbacks(target),
             stream=stream,
         )
@@ -272,9 +274,9 @@
         """
         configuration = self.state.keeper.enforced
         residency = configuration.permitted(workspace, target)
-        wanted = header(http_request, "hyssop-residency")
-        if wanted:
-            named = {part.strip() for part in wanted.split(",")}
+        requested = header(http_request, "hyssop-residency")
+        if requested:
+            named = {part.strip() for part in requested.split(",")}
             residency &= frozenset(named)
         residency = self.state.trust.permitted(
             residency,
@@ -283,12 +285,12 @@
             self.state.clock.seconds(),
         )
         if residency is NOTHING:
-            raise Refused(Reason.UNVERIFIED)
+            raise RequestRejected(Reason.UNVERIFIED)
         if not residency:
-            raise Refused(Reason.RESIDENCY)
+            raise RequestRejected(Reason.RESIDENCY)
         return residency
 
-    def may_repeat(self, http_request, workspace, target):
+    def is_repeatable(self, http_request, workspace, target):
         """Whether all who have a say let the request run twice."""
         if header(http_request, "hyssop-repeatable").lower() == "no":
             return False
@@ -299,7 +301,7 @@
         )
 
 
-def read_deadline(http_request, most_ms):
+def parse_deadline(http_request, max_ms):
     """Return the seconds that the caller gives, at most *most_ms*.
 
     Raises:
@@ -307,13 +309,13 @@
     """
     text = header(http_request, "hyssop-deadline-ms")
     if not text:
-        return min(most_ms, DEFAULT_DEADLINE_MS) / 1000
+        return min(max_ms, DEFAULT_DEADLINE_MS) / 1000
     if not text.isascii() or not text.isdigit() or int(text) == 0:
-        raise Refused(Reason.BAD_DEADLINE)
-    return min(most_ms, int(text)) / 1000
+        raise RequestRejected(Reason.BAD_DEADLINE)
+    return min(max_ms, int(text)) / 1000
 
 
-def read_priority(http_request):
+def parse_priority(http_request):
     """Return the `Priority` that the caller gives.
 
     Raises:
@@ -321,23 +323,23 @@
     """
     text = header(http_request, "hyssop-priority", "normal").lower()
     if text not in PRIORITIES:
-        raise Refused(Reason.BAD_REQUEST)
+        raise RequestRejected(Reason.BAD_REQUEST)
     return PRIORITIES[text]
 
 
-def read_key(http_request):
+def parse_idempotency_key(http_request):
     """Return the idempotency key, or `NOTHING`.
 
     Raises:
         Refused: It is too long.
     """
     key = header(http_request, "idempotency-key")
-    if len(key) > LONGEST_KEY:
-        raise Refused(Reason.BAD_REQUEST)
+    if len(key) > MAX_KEY_CHARACTERS:
+        raise RequestRejected(Reason.BAD_REQUEST)
     return key or NOTHING
 
 
-def prefix_of(values):
+def hash_prompt_prefix(values):
     """Return a hash of the start of the prompt."""
     if values.messages:
         start = b"".join(bytes(part) for part in values.messages[:4])
@@ -345,4 +347,4 @@
         start = values.prompt.encode()
     else:
         start = msgspec.json.encode(values.prompt)
-    return hash_bytes(start[:PREFIX_CHARACTERS])
+    return hash_bytes(start[:PREFIX_BYTES])
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -110,7 +110,7 @@
         """Add the path for asks of other hosts."""
         router.add("POST", CLAIM_PATH, self.serve_ask)
 
-    async def carry_out(self, request, run):
+    async def intercept(self, request, run):
         """Run the request, after its key is claimed if it needs that.
 
         Args:
--- a/src/hyssopspring/net/clients.py
+++ b/src/hyssopspring/net/clients.py
@@ -17,9 +17,9 @@
 from ..core.exceptions import NoAnswerError, ProtocolError
 from ..core.sentinels import NOTHING
 
-CONNECT_TIMEOUT = 0.5
-POOL_PER_HOST = 64
-LONGEST_BODY = 16 * 1024 * 1024
+CONNECT_TIMEOUT_SECONDS = 0.5
+MAX_POOLED_CONNECTIONS = 64
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 NETWORK_FAILURES = (
     error.ConnectError,
     error.ConnectingCancelledError,
@@ -34,7 +34,9 @@
 """What a request fails with when no whole answer comes."""
 
 
-def make_agent(reactor, *, persistent=True, connect_timeout=CONNECT_TIMEOUT):
+def make_agent(
+    reactor, *, persistent=True, connect_timeout=CONNECT_TIMEOUT_SECONDS
+):
     """Return an agent whose pool never repeats a request by itself.
 
     The pool's own retry would send a request a second time when a kept
@@ -48,7 +50,7 @@
     """
     pool = HTTPConnectionPool(reactor, persistent=persistent)
     pool.retryAutomatically = False
-    pool.maxPersistentPerHost = POOL_PER_HOST
+    pool.maxPersistentPerHost = MAX_POOLED_CONNECTIONS
     agent = Agent(reactor, connectTimeout=connect_timeout, pool=pool)
     agent.pool = pool
     return agent
@@ -129,7 +131,7 @@
     return agent.request(b"POST", url.encode(), headers, body)
 
 
-def read_body(response, limit=LONGEST_BODY):
+def read_body(response, limit=MAX_RESPONSE_BYTES):
     """Return a deferred of the response's whole body.
 
     The deferred fails if the body ends before its announced length, or
--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashdetection.py
@@ -12,30 +12,30 @@
 from ..traffic.crashes import KEPT, Crashes, End, Verdict, is_early
 from .messages import CallSuspects
 
-__all__ = ["CRASH_TOPIC", "AttemptTimes", "CallCrashes"]
+__all__ = ["CRASH_TOPIC", "AttemptTiming", "CallCrashDetector"]
 
 CRASH_TOPIC = b"c"
 
-PROBE_TIMEOUT = 0.1
+PROBE_TIMEOUT_SECONDS = 0.1
 """Seconds to connect to a server that broke off; it refuses in 2 ms if it
 has ended, and says nothing without power."""
 
-HELD_RETRY_AFTER = 0.5
+DEFERRED_RETRY_AFTER_SECONDS = 0.5
 """Seconds after which a call may come back that waits for another one, or
 for word of what else ended."""
 
-TELL_EVERY = 5.0
+BROADCAST_INTERVAL_SECONDS = 5.0
 """Seconds between two messages on all that is known, for hosts that missed
 a message, were cut off or have just started."""
 
-ROWS_AT_ONCE = 20
+MAX_BROADCAST_ROWS = 20
 """Calls in such a message, 5 KB at most: with one each five seconds half of
 what a host may spend on control, while servers end."""
 
-BROKE_OFF = (Reason.CONNECTION_LOST, Reason.TRUNCATED)
+CONNECTION_BROKEN_REASONS = (Reason.CONNECTION_LOST, Reason.TRUNCATED)
 
 
-class CallCrashes:
+class CallCrashDetector:
     """Refuse calls under which servers end, and tell other hosts of them.
 
     Callers name themselves by keys here, so a call is known by its
@@ -54,8 +54,8 @@
         self.timeline = timeline
         self.publish = publish
         self.crashes = Crashes()
-        self.apart = set()
-        self.tell_due = 0.0
+        self.isolated = set()
+        self.next_broadcast_at = 0.0
 
     def refusal(self, request, message):
         """Return a `NotRun` if a call may go to no server now, or `NOTHING`.
@@ -72,18 +72,20 @@
         if verdict is Verdict.BLOCKED:
             # It is tried again when it is forgotten, and not sooner.
             return NotRun(Reason.CRASHES_SERVERS, KEPT)
-        waits = verdict is Verdict.ALONE and self.apart - {request.id}
-        if verdict is Verdict.HELD or waits:
-            return NotRun(Reason.SUSPECTED, HELD_RETRY_AFTER)
+        must_wait = verdict is Verdict.ALONE and self.isolated - {request.id}
+        if verdict is Verdict.HELD or must_wait:
+            return NotRun(Reason.SUSPECTED, DEFERRED_RETRY_AFTER_SECONDS)
         if verdict is Verdict.ALONE:
-            self.apart.add(request.id)
+            self.isolated.add(request.id)
         return NOTHING
 
-    def done(self, request):
+    def request_finished(self, request):
         """Note that a call is over."""
-        self.apart.discard(request.id)
+        self.isolated.discard(request.id)
 
-    async def look(self, request, message, server, address, outcome, times):
+    async def check_attempt(
+        self, request, message, server, address, outcome, times
+    ):
         """Note whether a server ended under a call, or ran it well.
 
         Args:
@@ -92,22 +94,27 @@
             server: The start of a server.
             address: Its ``ip:port``.
             outcome: How the attempt ended.
-            times: The `AttemptTimes`.
+            times: The `AttemptTiming`.
         """
         if isinstance(outcome, Answered):
-            self.note_run(fingerprint_of(request, message))
-        broke_off = (
-            isinstance(outcome, Unknown) and outcome.reason in BROKE_OFF
+            self.record_success(fingerprint_of(request, message))
+        connection_broken = (
+            isinstance(outcome, Unknown)
+            and outcome.reason in CONNECTION_BROKEN_REASONS
         )
-        if not broke_off or not times.early:
+        if not connection_broken or not times.early:
             return
-        if await self.is_refused(address):
-            self.note_end(request, fingerprint_of(request, message), server)
+        if await self.refuses_connections(address):
+            self.record_crash(
+                request, fingerprint_of(request, message), server
+            )
 
-    async def is_refused(self, address):
+    async def refuses_connections(self, address):
         """Whether nobody listens at *address* any more."""
         ip, port = split_address(address)
-        endpoint = TCP4ClientEndpoint(self.clock, ip, port, PROBE_TIMEOUT)
+        endpoint = TCP4ClientEndpoint(
+            self.clock, ip, port, PROBE_TIMEOUT_SECONDS
+        )
         try:
             opened = await connectProtocol(endpoint, protocol.Protocol())
         except error.ConnectError as problem:
@@ -115,13 +122,13 @@
         opened.transport.loseConnection()
         return False
 
-    def note_run(self, fingerprint):
+    def record_success(self, fingerprint):
         """Note that a call ran well."""
         if self.crashes.note_run(fingerprint, "", self.clock.seconds()):
-            self.tell([self.crashes.suspects[fingerprint]])
+            self.broadcast([self.crashes.suspects[fingerprint]])
 
-    def note_end(self, request, fingerprint, server):
-        """Note that a server ended as a call began on it."""
+    def record_crash(self, request, fingerprint, server):
+        """Note that a server ended as a call started_at on it."""
         now = self.clock.seconds()
         self.timeline.note(
             EventKind.SERVER_ENDED,
@@ -131,30 +138,30 @@
         )
         end = End(server, now, self.host)
         if self.crashes.note_end(fingerprint, end, now):
-            self.tell([self.crashes.suspects[fingerprint]])
+            self.broadcast([self.crashes.suspects[fingerprint]])
 
-    def tell(self, suspects):
+    def broadcast(self, suspects):
         """Tell all hosts of some calls."""
         now = self.clock.seconds()
-        rows = [row_of(one, now) for one in suspects[:ROWS_AT_ONCE]]
+        rows = [row_of(one, now) for one in suspects[:MAX_BROADCAST_ROWS]]
         self.publish(CallSuspects(host=self.host, rows=rows))
 
-    def take(self, message):
+    def handle_message(self, message):
         """Take over what another host tells, and pass on what is news.
 
         A host is connected to few of another data centre; the others hear
         it from these.
         """
         now = self.clock.seconds()
-        news = []
+        updated = []
         for row in message.rows:
-            told = suspect_of(row, now)
-            if self.crashes.merge(told, now):
-                news.append(told.fingerprint)
+            received = suspect_of(row, now)
+            if self.crashes.merge(received, now):
+                updated.append(received.fingerprint)
         suspects = self.crashes.suspects
-        news = [suspects[one] for one in news if one in suspects]
-        if news:
-            self.tell(news)
+        updated = [suspects[one] for one in updated if one in suspects]
+        if updated:
+            self.broadcast(updated)
 
     def tick(self):
         """Do what is due; called once a heartbeat interval."""
@@ -165,34 +172,36 @@
                 fingerprint=suspect.fingerprint,
                 evidence=", ".join(sorted(suspect.ends)),
             )
-        if now < self.tell_due:
+        if now < self.next_broadcast_at:
             return
-        self.tell_due = now + TELL_EVERY
+        self.next_broadcast_at = now + BROADCAST_INTERVAL_SECONDS
         self.crashes.expire(now)
-        known = self.crashes.told_to_all()
-        if known:
-            self.tell(known)
+        confirmed = self.crashes.told_to_all()
+        if confirmed:
+            self.broadcast(confirmed)
 
 
-class AttemptTimes:
-    """When an attempt was sent, was to begin, began and ended.
+class AttemptTiming:
+    """When an attempt was sent, was to begin, started_at and ended.
 
     Args:
-        began: Time at which it was sent.
+        started_at: Time at which it was sent.
         predicted: Seconds in which it was to begin.
-        first_at: Time of the first of its answer, or `NOTHING`.
+        first_body_at: Time of the first of its answer, or `NOTHING`.
         headed: Whether the head of its answer had come.
         now: Time of its end.
     """
 
-    def __init__(self, *, began, predicted, first_at, headed, now):
+    def __init__(
+        self, *, started_at, predicted, first_body_at, head_received, now
+    ):
         begun_for = NOTHING
-        if first_at is not NOTHING:
-            begun_for = now - first_at
+        if first_body_at is not NOTHING:
+            begun_for = now - first_body_at
         self.early = is_early(
-            ran_for=now - began,
+            ran_for=now - started_at,
             predicted=predicted,
-            headed=headed,
+            headed=head_received,
             begun_for=begun_for,
         )
 
--- a/src/hyssopspring/net/dispatching.py
+++ b/src/hyssopspring/net/dispatching.py
@@ -11,11 +11,11 @@
 from ..core.plans import Finish, Forward, Plan, Serve
 from ..core.sentinels import NOTHING
 from ..core.servers import LoadReport
-from .backends import backend_call
-from .crashes import AttemptTimes
-from .forwarding import forward_call
+from .backends import build_backend_request
+from .crashdetection import AttemptTiming
+from .forwarding import build_forward_request
 
-BLAMED = (
+SERVER_FAILURE_REASONS = (
     Reason.CONNECT,
     Reason.REFUSED,
     Reason.CONNECTION_LOST,
@@ -38,7 +38,7 @@
 
 
 LOAD_DECODER = msgspec.json.Decoder(ReportedLoad)
-CENTRE_LOAD_DECODER = msgspec.json.Decoder(tuple[int, float, float])
+DATA_CENTRE_LOAD_DECODER = msgspec.json.Decoder(tuple[int, float, float])
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -58,7 +58,7 @@
         rng: Random number generator.
         policy: Name of the choice within the data centre.
         trust: The `Trust` in the configuration.
-        crashes: `CallCrashes` of calls under which servers ended.
+        crash_detector: `CallCrashDetector` of calls under which servers ended.
     """
 
     host: str
@@ -73,7 +73,7 @@
     rng: object
     policy: str
     trust: object
-    crashes: object
+    crash_detector: object
 
 
 class Dispatcher:
@@ -96,7 +96,7 @@
 
         Args:
             request: The `Request`.
-            message: Its `Message`.
+            message: Its `CallerMessage`.
             sink: Where the answer goes.
 
         Returns:
@@ -114,17 +114,17 @@
             policy=state.policy,
         )
         try:
-            return await self.carry_out(plan, message, sink)
+            return await self.run_plan(plan, message, sink)
         finally:
-            state.crashes.done(request)
+            state.crash_detector.request_finished(request)
 
-    async def carry_out(self, plan, message, sink):
+    async def run_plan(self, plan, message, sink):
         """Make the attempts of a plan; return the final outcome."""
         state = self.state
         request = plan.request
         while True:
-            self.renew_rights(plan)
-            refusal = state.crashes.refusal(request, message)
+            self.refresh_permissions(plan)
+            refusal = state.crash_detector.refusal(request, message)
             if refusal is not NOTHING:
                 return combine([*plan.outcomes, refusal])
             step = plan.next(state.clock.seconds())
@@ -132,12 +132,12 @@
                 return step.outcome
             outcome = await self.attempt(plan.request, message, sink, step)
             if not isinstance(outcome, Answered):
-                self.note_failure(request, step, outcome)
+                self.log_failure(request, step, outcome)
             if sink.started and not isinstance(outcome, Answered):
                 return Unknown(outcome.reason)
             plan.record(outcome)
 
-    def renew_rights(self, plan):
+    def refresh_permissions(self, plan):
         """Let the next attempt go by the rights of this moment.
 
         A request may run for long. A right that was withdrawn meanwhile,
@@ -169,48 +169,48 @@
         state = self.state
         entry = step.server.entry
         attempt = f"{request.id}-{step.number}"
-        call = backend_call(
+        call = build_backend_request(
             request, attempt, step.target, entry.address, message
         )
         state.timeline.note(
             EventKind.ATTEMPT, request=request.id, server=entry.name
         )
         state.table.begin(entry.name)
-        began = state.clock.seconds()
+        started_at = state.clock.seconds()
         outcome = NOTHING
         try:
             outcome = await self.send(
                 request,
                 call,
                 sink,
-                lambda data: self.take_load(entry.name, data),
+                lambda data: self.apply_load_report(entry.name, data),
             )
         finally:
-            self.finish_serve(entry.name, outcome, sink, began)
-        times = AttemptTimes(
-            began=began,
-            predicted=step.server.queue_wait(began),
-            first_at=sink.first_at,
-            headed=sink.started,
+            self.record_end(entry.name, outcome, sink, started_at)
+        times = AttemptTiming(
+            started_at=started_at,
+            predicted=step.server.queue_wait(started_at),
+            first_body_at=sink.first_body_at,
+            head_received=sink.started,
             now=state.clock.seconds(),
         )
-        await state.crashes.look(
+        await state.crash_detector.check_attempt(
             request,
             message,
-            start_of(step.server),
+            instance_of(step.server),
             entry.address,
             outcome,
             times,
         )
         return outcome
 
-    async def send(self, request, call, sink, loaded):
+    async def send(self, request, call, sink, on_load):
         """Send *call* and wait for its outcome, unless it is given up."""
         work = self.client.send(
             call,
             sink,
             deadline=request.deadline,
-            loaded=loaded,
+            on_load=on_load,
         )
         self.active[request.id] = work
         try:
@@ -218,18 +218,18 @@
         finally:
             self.active.pop(request.id, None)
 
-    def finish_serve(self, name, outcome, sink, began):
+    def record_end(self, name, outcome, sink, started_at):
         """Count the end of an attempt at a backend server."""
         now = self.state.clock.seconds()
-        failed = getattr(outcome, "reason", NOTHING) in BLAMED
+        failed = getattr(outcome, "reason", NOTHING) in SERVER_FAILURE_REASONS
         first = making = NOTHING
-        if sink.first_at is not NOTHING:
-            first = sink.first_at - began
-            making = now - sink.first_at
-        paused = self.state.table.finish(
+        if sink.first_body_at is not NOTHING:
+            first = sink.first_body_at - started_at
+            making = now - sink.first_body_at
+        retry_paused = self.state.table.finish(
             name, now, failed=failed, first_token=first, making=making
         )
-        if paused:
+        if retry_paused:
             self.state.timeline.note(
                 EventKind.SERVER_PAUSED, server=name, reason=outcome.reason
             )
@@ -244,15 +244,17 @@
             request=request.id,
             data_centre=step.summary.data_centre,
         )
-        call = forward_call(request, message, step, state, self.signer)
+        call = build_forward_request(
+            request, message, step, state, self.signer
+        )
 
-        def loaded(data):
-            self.take_centre_load(step, data)
+        def on_load(data):
+            self.apply_data_centre_load(step, data)
 
         state.centres.begin(step.summary.data_centre)
-        return await self.send(request, call, sink, loaded)
+        return await self.send(request, call, sink, on_load)
 
-    def take_load(self, server, data):
+    def apply_load_report(self, server, data):
         """Take over a load report that rode on an answer."""
         try:
             load = LOAD_DECODER.decode(data)
@@ -262,10 +264,10 @@
             server, reported_load(load, self.state.clock.seconds())
         )
 
-    def take_centre_load(self, step, data):
+    def apply_data_centre_load(self, step, data):
         """Take over another data centre's load from its answer."""
         try:
-            load = CENTRE_LOAD_DECODER.decode(data)
+            load = DATA_CENTRE_LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
             return
         self.state.centres.refresh(
@@ -275,27 +277,27 @@
             self.state.clock.seconds(),
         )
 
-    def abandon(self, identifier):
+    def cancel_request(self, identifier):
         """Give up the request since its caller has gone."""
         work = self.active.pop(identifier, NOTHING)
         if work is not NOTHING:
             work.cancel()
 
-    def note_failure(self, request, step, outcome):
+    def log_failure(self, request, step, outcome):
         """Put the end of a failed attempt on the time line."""
-        place = step.server.entry.name if isinstance(step, Serve) else ""
+        destination = step.server.entry.name if isinstance(step, Serve) else ""
         if isinstance(step, Forward):
-            place = step.summary.data_centre
+            destination = step.summary.data_centre
         self.state.timeline.note(
             EventKind.ATTEMPT_ENDED,
             request=request.id,
-            at=place,
+            at=destination,
             outcome=type(outcome).__name__,
             reason=outcome.reason,
         )
 
 
-def start_of(server):
+def instance_of(server):
     """Return the name of this start of a server."""
     if server.report is NOTHING:
         return server.entry.name
--- a/src/hyssopspring/net/draining.py
+++ b/src/hyssopspring/net/draining.py
@@ -20,28 +20,28 @@
         self.leaving = False
         self.refusing = False
         self.active = 0
-        self.waiting = NOTHING
+        self.idle_waiter = NOTHING
 
     @contextmanager
-    def working(self):
+    def track_request(self):
         """Count one request for as long as the block runs."""
         self.active += 1
         try:
             yield
         finally:
             self.active -= 1
-            self.check()
+            self.notify_if_idle()
 
-    def check(self):
+    def notify_if_idle(self):
         """Tell who waits once nothing is in progress."""
-        if self.active or self.waiting is NOTHING:
+        if self.active or self.idle_waiter is NOTHING:
             return
-        waiting, self.waiting = self.waiting, NOTHING
-        waiting.callback(None)
+        idle_waiter, self.idle_waiter = self.idle_waiter, NOTHING
+        idle_waiter.callback(None)
 
-    def finished(self):
+    def wait_until_idle(self):
         """Return a deferred that fires when nothing is in progress."""
-        self.waiting = defer.Deferred()
-        done = self.waiting
-        self.check()
+        self.idle_waiter = defer.Deferred()
+        done = self.idle_waiter
+        self.notify_if_idle()
         return done
--- a/src/hyssopspring/net/forwarding.py
+++ b/src/hyssopspring/net/forwarding.py
@@ -11,46 +11,46 @@
 from ..core.outcomes import Answered, NotRun, Reason
 from ..core.requests import Priority, Request, Target, TargetKind
 from ..core.sentinels import NOTHING
-from .answers import Sink, read_outcome, respond_outcome
-from .backends import Call, Message
+from .answers import Sink, parse_outcome, respond_outcome
+from .backends import CallerMessage, OutgoingRequest
 from .messages import ENCODER, ForwardedHead, decode_head
 from .serving import header
 
-HEAD = b"hyssop-head"
-SIGNATURE = b"hyssop-signature"
+HEAD_HEADER = b"hyssop-head"
+SIGNATURE_HEADER = b"hyssop-signature"
 FORWARD_PATH = "/forward"
 
 
-def forward_call(request, message, step, state, signer):
-    """Return the `Call` that forwards *request*.
+def build_forward_request(request, message, step, state, signer):
+    """Return the `OutgoingRequest` that forwards *request*.
 
     Args:
         request: The `Request`.
-        message: Its `Message`.
+        message: Its `CallerMessage`.
         step: The `Forward` step.
         state: The `HostState`.
         signer: The `Signer`.
     """
-    head = ENCODER.encode(make_head(request, message, step, state))
+    head = ENCODER.encode(build_head(request, message, step, state))
     body = message.body_for(step.target, request.target)
     signature = signer.sign(head, body)
-    return Call(
+    return OutgoingRequest(
         id=f"{request.id}-{step.number}",
         method=b"POST",
         url=f"http://{step.address}{FORWARD_PATH}".encode(),
         headers=(
             (b"content-type", message.content_type),
-            (HEAD, b64encode(head)),
-            (SIGNATURE, b64encode(signature)),
+            (HEAD_HEADER, b64encode(head)),
+            (SIGNATURE_HEADER, b64encode(signature)),
         ),
         body=body,
         stream=request.stream,
         repeatable=request.repeatable,
-        refusal=read_outcome,
+        refusal=parse_outcome,
     )
 
 
-def make_head(request, message, step, state):
+def build_head(request, message, step, state):
     """Return the `ForwardedHead` of a request for another host."""
     return ForwardedHead(
         id=f"{request.id}-{step.number}",
@@ -96,7 +96,7 @@
     async def serve(self, http_request):
         """Serve one forwarded request on this data centre's servers."""
         try:
-            head, body = self.read(http_request)
+            head, body = self.authenticate(http_request)
         except ProtocolError as error:
             self.state.timeline.note(EventKind.PEER_REFUSED, why=error)
             respond_outcome(http_request, NotRun(Reason.BAD_PEER))
@@ -107,11 +107,11 @@
             [
                 (b"hyssop-outcome", b"answered"),
                 (b"x-request-id", head.id.encode()),
-                (b"x-load", self.load_of(head)),
+                (b"x-load", self.encode_load(head)),
             ],
         )
         request = forwarded_request(head, self.state)
-        refusal = self.refuse(request)
+        refusal = self.find_refusal(request)
         if refusal is not NOTHING:
             self.state.timeline.note(
                 EventKind.FORWARD_REFUSED,
@@ -120,32 +120,34 @@
             )
             sink.fail(refusal)
             return
-        message = Message(
+        message = CallerMessage(
             head.method.encode(),
             head.resource.encode("latin-1"),
             header(http_request, "content-type").encode(),
             body,
         )
-        await self.carry_out(http_request, request, message, sink)
+        await self.execute(http_request, request, message, sink)
 
-    def load_of(self, head):
+    def encode_load(self, head):
         """Return slots, load and wait of the target, for the sender."""
         target = Target(TargetKind(head.kind), head.target)
         totals = self.state.table.summary(self.state.clock.seconds())
         return msgspec.json.encode(totals.get(target, (0, 0.0, 0.0)))
 
-    async def carry_out(self, http_request, request, message, sink):
+    async def execute(self, http_request, request, message, sink):
         """Dispatch the request and send its outcome back."""
-        gone = http_request.notifyFinish()
-        gone.addErrback(lambda _: self.dispatcher.abandon(request.id))
-        with self.drain.working():
+        disconnected = http_request.notifyFinish()
+        disconnected.addErrback(
+            lambda _: self.dispatcher.cancel_request(request.id)
+        )
+        with self.drain.track_request():
             outcome = await self.dispatcher.run(request, message, sink)
             if isinstance(outcome, Answered):
                 sink.finish()
             else:
                 sink.fail(outcome)
 
-    def read(self, http_request):
+    def authenticate(self, http_request):
         """Check the signature; return the head and the body.
 
         Callers reach the same network. Without the signature one could
@@ -157,15 +159,17 @@
         http_request.content.seek(0)
         body = http_request.content.read()
         try:
-            head = b64decode(http_request.getHeader(HEAD) or b"")
-            signature = b64decode(http_request.getHeader(SIGNATURE) or b"")
+            head = b64decode(http_request.getHeader(HEAD_HEADER) or b"")
+            signature = b64decode(
+                http_request.getHeader(SIGNATURE_HEADER) or b""
+            )
         except Base64Error as error:
             raise ProtocolError(f"bad encoding: {error}") from None
         if not self.signer.verify(signature, head, body):
             raise ProtocolError("bad signature of a forwarded request")
         return decode_head(head), body
 
-    def refuse(self, request):
+    def find_refusal(self, request):
         """Return why the request is not served here, or `NOTHING`."""
         if self.drain.refusing:
             return NotRun(Reason.LEAVING)
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -58,7 +58,7 @@
         self.working = {}
         self.pacer = Pacer(FLEET_WRITES_PER_SECOND, WRITE_BURST)
 
-    async def carry_out(self, request, run):
+    async def intercept(self, request, run):
         """Run the request if its workspace's limits allow it.
 
         Args:
--- a/src/hyssopspring/net/serving.py
+++ b/src/hyssopspring/net/serving.py
@@ -8,8 +8,8 @@
 from ..core.exceptions import HyssopError, ProtocolError
 from ..core.outcomes import Reason
 
-LONGEST_REQUEST = 4 * 1024 * 1024
-IDLE_TIMEOUT = 30.0
+MAX_REQUEST_BYTES = 4 * 1024 * 1024
+IDLE_TIMEOUT_SECONDS = 30.0
 
 
 class LimitedRequest(server.Request):
@@ -23,7 +23,7 @@
 
     def gotLength(self, length):
         """Refuse a body whose announced length is too great."""
-        if length is not None and length > self.channel.site.longest:
+        if length is not None and length > self.channel.site.max_request_bytes:
             self.refuse()
             return
         super().gotLength(length)
@@ -32,7 +32,10 @@
         """Refuse a body of unknown length once it is too long."""
         if self.refused:
             return
-        if self.content.tell() + len(data) > self.channel.site.longest:
+        if (
+            self.content.tell() + len(data)
+            > self.channel.site.max_request_bytes
+        ):
             self.refuse()
             return
         super().handleContentChunk(data)
@@ -47,7 +50,7 @@
         if self.refused:
             return
         self.refused = True
-        body = self.channel.site.too_long
+        body = self.channel.site.too_large_body
         head = (
             b"HTTP/1.1 413 Payload Too Large\r\n"
             b"Content-Type: application/json\r\n"
@@ -62,11 +65,13 @@
 class LimitedSite(server.Site):
     """A site with limits on body size and on time without data."""
 
-    def __init__(self, root, *, longest=LONGEST_REQUEST, reactor=None):
-        super().__init__(root, timeout=IDLE_TIMEOUT, reactor=reactor)
+    def __init__(
+        self, root, *, max_request_bytes=MAX_REQUEST_BYTES, reactor=None
+    ):
+        super().__init__(root, timeout=IDLE_TIMEOUT_SECONDS, reactor=reactor)
         self.requestFactory = LimitedRequest
-        self.longest = longest
-        self.too_long = msgspec.json.encode(
+        self.max_request_bytes = max_request_bytes
+        self.too_large_body = msgspec.json.encode(
             {
                 "error": {
                     "message": "the body is too long",
@@ -86,25 +91,25 @@
 
     Args:
         handle: Coroutine function that takes the request and answers it.
-        failed: Called with request and failure if the handler raised.
+        on_failure: Called with request and failure if the handler raised.
     """
 
     isLeaf = True
 
-    def __init__(self, handle, failed):
+    def __init__(self, handle, on_failure):
         super().__init__()
         self.handle = handle
-        self.failed = failed
+        self.on_failure = on_failure
 
     def render(self, request):
         """Start the coroutine."""
-        work = defer.ensureDeferred(self.handle(request))
-        work.addErrback(self.recover, request)
+        deferred = defer.ensureDeferred(self.handle(request))
+        deferred.addErrback(self.handle_failure, request)
         return server.NOT_DONE_YET
 
-    def recover(self, reason, request):
+    def handle_failure(self, reason, request):
         """Answer a request whose handler failed, if it still can be."""
-        self.failed(request, reason)
+        self.on_failure(request, reason)
         if request.finished or request._disconnected:
             return
         if request.startedWriting:
@@ -117,11 +122,11 @@
     """Map method and path to handlers.
 
     Args:
-        failed: Called with the failure of a handler that raised.
+        on_failure: Called with the failure of a handler that raised.
     """
 
-    def __init__(self, failed):
-        self.failed = failed
+    def __init__(self, on_failure):
+        self.on_failure = on_failure
         self.routes = []
 
     def add(self, method, path, handler):
@@ -131,20 +136,20 @@
     def resource(self):
         """Return the resource that serves all routes."""
         return CoroutineResource(
-            self.dispatch, lambda request, reason: self.failed(reason)
+            self.dispatch, lambda request, reason: self.on_failure(reason)
         )
 
     async def dispatch(self, request):
         """Call the handler of the request's method and path."""
-        known = False
+        path_found = False
         for method, path, handler in self.routes:
-            below = path.endswith(b"/") and request.path.startswith(path)
-            if request.path != path and not below:
+            is_below = path.endswith(b"/") and request.path.startswith(path)
+            if request.path != path and not is_below:
                 continue
-            known = True
+            path_found = True
             if method in (request.method, b"*"):
                 return await self.call(handler, request)
-        if known:
+        if path_found:
             return respond_error(
                 request,
                 405,
@@ -164,7 +169,7 @@
         except ProtocolError as error:
             respond_error(request, 400, "bad_request", str(error))
         except HyssopError as error:
-            self.failed(failure.Failure())
+            self.on_failure(failure.Failure())
             respond_error(request, 503, "unavailable", str(error))
 
 
--- a/src/hyssopspring/net/sinks.py
+++ b/src/hyssopspring/net/sinks.py
@@ -27,7 +27,7 @@
         self.bytes = 0
 
     @property
-    def gone(self):
+    def disconnected(self):
         """Whether the other side has closed the connection."""
         return self.request._disconnected
 
@@ -40,7 +40,7 @@
             length: Bytes of the whole body, if they are known.
         """
         self.started = True
-        if self.gone:
+        if self.disconnected:
             return
         self.request.setResponseCode(status)
         sent = (*self.headers, *headers)
@@ -57,34 +57,34 @@
     def write(self, data):
         """Send a part of the body."""
         self.bytes += len(data)
-        if not self.gone:
+        if not self.disconnected:
             self.request.write(data)
 
-    def pausing(self, producer):
+    def set_producer(self, producer):
         """Let a slow reader pause *producer*.
 
         Without it the answer to a reader that stopped reading would pile
         up in memory until the host has none left.
         """
-        self.release()
-        if not self.gone:
+        self.clear_producer()
+        if not self.disconnected:
             self.producer = producer
             self.request.registerProducer(producer, True)
 
-    def release(self):
+    def clear_producer(self):
         """Let go of the producer."""
-        if self.producer is not NOTHING and not self.gone:
+        if self.producer is not NOTHING and not self.disconnected:
             self.request.unregisterProducer()
         self.producer = NOTHING
 
     def finish(self):
         """End a whole answer."""
-        self.release()
+        self.clear_producer()
         self.finished = True
-        if not self.gone:
+        if not self.disconnected:
             self.request.finish()
 
-    def whole(self, status, headers, body):
+    def send_whole(self, status, headers, body):
         """Send a whole answer."""
         self.start(status, headers, len(body))
         self.write(body)
@@ -95,9 +95,9 @@
 
         A proper end would pass a part off as the whole.
         """
-        self.release()
+        self.clear_producer()
         self.finished = True
-        if not self.gone:
+        if not self.disconnected:
             self.request.loseConnection()
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -28,7 +28,7 @@
                 setattr(engine.faults, fault, value)
 
 
-def ran(fleet, prefix=""):
+def list_runs(fleet, prefix=""):
     """Return the identifiers that the engines of a region took."""
     return [
         identifier
@@ -56,7 +56,8 @@
     assert_that(status, Equals(200))
     answer = msgspec.json.decode(body)
     assert_that(
-        ran(fleet, "arusha"), Contains(answer["id"].rsplit("-", 1)[0] + "-0")
+        list_runs(fleet, "arusha"),
+        Contains(answer["id"].rsplit("-", 1)[0] + "-0"),
     )
 
 
@@ -69,7 +70,7 @@
     )
     assert_that(status, Equals(502))
     assert_that(outcome_of(headers), Equals(b"unknown"))
-    assert_that(ran(fleet), HasLength(1))
+    assert_that(list_runs(fleet), HasLength(1))
 
 
 @pytest_twisted.ensureDeferred
@@ -86,7 +87,7 @@
         int(line[4:]) for line in body.split(b"\n") if line.startswith(b"id: ")
     ]
     assert_that(numbers, Equals(list(range(8))))
-    assert_that(ran(fleet), HasLength(1))
+    assert_that(list_runs(fleet), HasLength(1))
 
 
 @pytest_twisted.ensureDeferred
@@ -101,7 +102,7 @@
         engine.resume = lambda request: request.loseConnection()
     with pytest.raises(ResponseFailed):
         await caller.complete("dar-0", max_tokens=8, stream=True)
-    assert_that(ran(fleet), HasLength(1))
+    assert_that(list_runs(fleet), HasLength(1))
 
 
 @pytest_twisted.ensureDeferred
@@ -125,7 +126,7 @@
     assert_that(status, Equals(503))
     assert_that(outcome_of(headers), Equals(b"not-run"))
     assert headers.hasHeader(b"retry-after")
-    assert_that(ran(fleet), HasLength(0))
+    assert_that(list_runs(fleet), HasLength(0))
 
 
 @pytest_twisted.ensureDeferred
@@ -141,7 +142,7 @@
     )
     assert_that(status, Equals(503))
     assert_that(outcome_of(headers), Equals(b"not-run"))
-    assert_that(ran(fleet), HasLength(0))
+    assert_that(list_runs(fleet), HasLength(0))
 
 
 @pytest_twisted.ensureDeferred
@@ -165,7 +166,7 @@
     set_faults(fleet, "dar", refuse=True)
     status, headers, _ = await caller.complete("dar-0")
     assert_that(status, Equals(503))
-    assert_that(ran(fleet), HasLength(0))
+    assert_that(list_runs(fleet), HasLength(0))
 
 
 @pytest_twisted.ensureDeferred
@@ -195,7 +196,7 @@
     assert sender.offer(judged.accepted)
     status, headers, _ = await work
     assert_that(status, Equals(502))
-    assert_that(ran(fleet, "arusha"), HasLength(0))
+    assert_that(list_runs(fleet, "arusha"), HasLength(0))
 
 
 @pytest_twisted.ensureDeferred
@@ -210,7 +211,7 @@
         {"hyssop_head": "gA==", "hyssop_signature": "AAAA"},
     )
     assert_that(response.code, Equals(403))
-    assert_that(ran(fleet), HasLength(0))
+    assert_that(list_runs(fleet), HasLength(0))
 
 
 @pytest_twisted.ensureDeferred
@@ -293,10 +294,10 @@
     gateway = fleet.gateways["dar-0"]
     server = gateway.state.table.servers["dar-engine-0"]
     await fleet.until(lambda: server.leaving, seconds=3)
-    before = len(ran(fleet, "dar"))
+    before = len(list_runs(fleet, "dar"))
     status, _, _ = await caller.complete("dar-0")
     assert_that(status, Equals(200))
-    assert_that(ran(fleet, "dar"), HasLength(before))
+    assert_that(list_runs(fleet, "dar"), HasLength(before))
 
 
 @pytest_twisted.ensureDeferred
@@ -366,8 +367,8 @@
     fleet.platform.set_fault("down", False)
 
 
-ENDING = b"call that no server survives"
-MOST_ENDS = 6
+CRASHING_BODY = b"call that no server survives"
+MAX_CRASHES = 6
 """Servers that may end under one call: three, and three sends more that are
 allowed once hosts know."""
 
@@ -383,9 +384,9 @@
     servers of 12 ended.
     """
     for service in fleet.services.values():
-        service.ended_by = ENDING
+        service.ended_by = CRASHING_BODY
     for number in range(8):
         host = ("dar-0", "arusha-0")[number % 2]
-        await caller.send(host, "/services/rating/a", ENDING)
+        await caller.send(host, "/services/rating/a", CRASHING_BODY)
     ended = sum(service.ended for service in fleet.services.values())
-    assert_that(ended, LessThan(MOST_ENDS + 1))
+    assert_that(ended, LessThan(MAX_CRASHES + 1))
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -20,7 +20,7 @@
     return Shape(regions=("dar",), engines=1)
 
 
-class Raw(Protocol):
+class RawConnection(Protocol):
     """Collect what comes back on a plain connection."""
 
     def __init__(self):
@@ -37,10 +37,10 @@
 
 
 async def connect(address):
-    """Return a `Raw` that is connected to *address*."""
+    """Return a `RawConnection` that is connected to *address*."""
     host, port = address.split(":")
     endpoint = TCP4ClientEndpoint(reactor, host, int(port))
-    return await connectProtocol(endpoint, Raw())
+    return await connectProtocol(endpoint, RawConnection())
 
 
 HEAD = (
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -112,7 +112,7 @@
             return Answered(200)
 
         request = SimpleNamespace(workspace="w")
-        work = self.limits[host].carry_out(request, run)
+        work = self.limits[host].intercept(request, run)
         return defer.ensureDeferred(work)
 
     @property
