--- a/src/hyssopspring/net/__init__.py
+++ b/src/hyssopspring/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets round the core: callers, backend servers and peers."""
+"""Network layer: callers, backend servers and other hosts."""
--- a/src/hyssopspring/net/answers.py
+++ b/src/hyssopspring/net/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers and peers: sinks and the wire form of outcomes."""
+"""Responses to callers and hosts: sinks and outcomes over HTTP."""
 
 import math
 
@@ -29,36 +29,39 @@
 UNKNOWN_STATUS = 502
 DEADLINE_STATUS = 504
 CALLER_ERROR_STATUSES = range(400, 409)
+"""Statuses of invalid requests. They carry no Retry-After, since a retry
+would fail as well."""
 
 MESSAGE_BY_REASON = {
-    Reason.UNKNOWN_WORKSPACE: "the key belongs to no workspace",
-    Reason.UNKNOWN_MODEL: "no such model",
-    Reason.UNKNOWN_SERVICE: "no such service",
-    Reason.RESIDENCY: "no region is left that may serve the request",
+    Reason.UNKNOWN_WORKSPACE: "the API key belongs to no workspace",
+    Reason.UNKNOWN_MODEL: "the model does not exist",
+    Reason.UNKNOWN_SERVICE: "the service does not exist",
+    Reason.RESIDENCY: "no permitted region can serve the request",
     Reason.NO_SERVER: "no backend server can take the request now",
     Reason.RATE_LIMIT: "the workspace's rate limit is reached",
-    Reason.CONCURRENCY_LIMIT: "the workspace's concurrency is reached",
-    Reason.LEAVING: "this host is leaving; use another one",
+    Reason.CONCURRENCY_LIMIT: "the workspace's concurrency limit is reached",
+    Reason.LEAVING: "this host is shutting down; use another host",
     Reason.NO_CONFIGURATION: "this host has no configuration yet",
-    Reason.UNVERIFIED: "this host is cut off; use another one",
-    Reason.CLAIMS_UNAVAILABLE: "the key cannot be recorded now",
+    Reason.UNVERIFIED: "this host may be out of date; use another host",
+    Reason.CLAIMS_UNAVAILABLE: "the idempotency key cannot be recorded now",
     Reason.CLAIM_IN_PROGRESS: "a request with this key is in progress",
-    Reason.CLAIM_DONE: "a request with this key has run",
+    Reason.CLAIM_DONE: "a request with this key has already run",
     Reason.CLAIM_UNKNOWN: "a request with this key may have run",
-    Reason.DEADLINE: "the deadline has passed",
+    Reason.DEADLINE: "the deadline of the request has passed",
 }
 
 
 class Sink(AnswerSink):
-    """Write one answer to a caller or a peer.
+    """Write one response to a caller or to another host.
 
     Args:
         request: The `twisted.web.server.Request`.
-        clock: The runtime's clock.
-        headers: Names and values that each answer carries.
+        clock: The clock (the reactor).
+        headers: Names and values of headers that each response has.
 
     Attributes:
-        first_body_at: Time of the first part of the body, or `NOTHING`.
+        first_body_at: Time at which the first part of the body was written,
+            or `NOTHING`.
     """
 
     def __init__(self, request, clock, headers=()):
@@ -67,22 +70,22 @@
         self.first_body_at = NOTHING
 
     def start(self, status, headers, length=NOTHING):
-        """Send the head of an answer, once."""
-        ensure(not self.started, "two answers to one request")
+        """Send the head of the response; it must be sent only once."""
+        ensure(not self.started, "response started twice")
         super().start(status, headers, length)
 
     def write(self, data):
-        """Send a part of the body, and note when the first left."""
-        ensure(self.started, "a body without a head")
+        """Write a part of the body and record the time of the first one."""
+        ensure(self.started, "response body written before its head")
         if self.first_body_at is NOTHING:
             self.first_body_at = self.clock.seconds()
         super().write(data)
 
     def fail(self, outcome):
-        """Tell that there is no answer.
+        """Respond with a failed outcome.
 
-        An answer that has begun can only be cut: a proper end would
-        pass a part of it off as the whole.
+        A response that has been started can only be aborted: if it were
+        ended properly, the caller would take a part of it for the whole.
         """
         if self.started:
             self.abort()
@@ -94,7 +97,7 @@
 
 
 def respond_outcome(request, outcome):
-    """Answer with a `NotRun` or an `Unknown`."""
+    """Respond with a `NotRun`, a `Repeated` or an `Unknown`."""
     message = MESSAGE_BY_REASON.get(
         outcome.reason, outcome.reason.replace("_", " ")
     )
@@ -122,10 +125,11 @@
 
 
 def parse_outcome(response):
-    """Return the outcome that a peer's answer states, or `NOTHING`.
+    """Return the outcome that a host's response states, or `NOTHING`.
 
-    An answer without a word on its outcome is a peer's own failure, in
-    which the request may have been passed on.
+    `NOTHING` means that the request was answered. A response that states
+    no outcome is due to a failure of the host itself; it may have passed
+    the request on by then, so the outcome is `Unknown`.
     """
     stated = first_value(response.headers, b"hyssop-outcome")
     if stated == b"answered":
--- a/src/hyssopspring/net/backends.py
+++ b/src/hyssopspring/net/backends.py
@@ -1,4 +1,4 @@
-"""Attempts at backend servers over HTTP."""
+"""Attempts at backend servers and other hosts over HTTP."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,31 +22,40 @@
 from .clients import read_body
 
 END_MARK = b"data: [DONE]"
+"""Last event of a complete stream."""
+
 EVENT_END = b"\n\n"
 EVENT_ID = b"id: "
 MAX_RESUMES = 3
+"""Attempts to resume one stream."""
+
 RESUME_DELAY_SECONDS = 0.05
+"""Delay before the first attempt to resume; it grows linearly."""
+
 CANCEL_TIMEOUT_SECONDS = 2.0
+"""Time for an engine to respond to a cancellation."""
+
 NOT_RUN_HEADER = b"hyssop-not-run"
 RELAYED_HEADERS = (b"content-type",)
+"""Response headers that are passed on to the caller."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OutgoingRequest:
-    """What an attempt sends.
+    """The HTTP request that an attempt sends.
 
     Attributes:
-        id: Identifier of the attempt, which the answer must echo.
+        id: Identifier of the attempt, which the response must echo.
         method: HTTP method.
-        url: Whole address.
-        headers: Names and values to send.
-        body: Body, maybe empty.
-        stream: Whether the answer comes in parts with an end mark.
-        repeatable: Whether a second run would do no harm.
-        resume_url: Where a stream can be resumed or cancelled, or an
-            empty string.
-        refusal: Tells from an answer's head whether it is an outcome
-            other than an answer; returns that or `NOTHING`.
+        url: Absolute URL.
+        headers: Names and values of the headers.
+        body: Body, possibly empty.
+        stream: Whether the response is an event stream with an end mark.
+        repeatable: Whether the request may run more than once.
+        resume_url: URL at which a stream is resumed or cancelled, or empty
+            bytes.
+        refusal: Returns the outcome that a response reports in place of a
+            result, or `NOTHING`; `parse_refusal` if it is not set.
     """
 
     id: str
@@ -61,28 +70,28 @@
 
 
 class WriteTrackingProducer(FileBodyProducer):
-    """A body that knows whether any byte of the request was written.
+    """A body producer that records whether the request was written.
 
-    The headers are written just before the body is started, so a body
-    that was never started proves that the server has seen nothing.
+    The headers are written just before the body producer is started. If
+    it was never started, the server has received no byte of the request.
     """
 
     written = False
 
     def startProducing(self, consumer):
-        """Note that the request is on its way."""
+        """Record that the request is being written."""
         self.written = True
         return super().startProducing(consumer)
 
 
 class BackendClient:
-    """Carry out attempts.
+    """Execute attempts over HTTP.
 
     Args:
-        pooled: Agent that keeps connections.
-        fresh: Agent that opens a connection for each request.
-        clock: The runtime's clock.
-        timeline: The `Timeline`.
+        pooled: Agent that reuses connections.
+        unpooled: Agent that opens a connection for each request.
+        clock: The clock (the reactor).
+        timeline: The `Timeline`, the event log.
     """
 
     def __init__(self, pooled, unpooled, clock, timeline):
@@ -91,36 +100,36 @@
         self.clock = clock
         self.timeline = timeline
 
-    def send(self, call, sink, *, deadline, on_load):
-        """Carry out one attempt.
+    def send(self, outgoing, sink, *, deadline, on_load):
+        """Execute one attempt.
 
         Args:
-            call: The `OutgoingRequest`.
-            sink: Where the answer goes; it offers ``start(status,
-                headers, length=NOTHING)``, ``write(data)`` and
+            outgoing: The `OutgoingRequest`.
+            sink: Object that the response is written to; it has
+                ``start(status, headers, length=NOTHING)``, ``write(data)`` and
                 ``set_producer(producer)``.
-            deadline: Time on the clock by which it must have ended.
-            on_load: Called with the load that rides on the answer.
+            deadline: Time on the clock by which the attempt must have ended.
+            on_load: Called with the load report in the response headers.
 
         Returns:
-            Deferred of an outcome. Cancelling it abandons the attempt.
+            Deferred of an outcome. Cancelling it cancels the attempt.
         """
-        attempt = _Attempt(self, call, sink, on_load, deadline)
+        attempt = _Attempt(self, outgoing, sink, on_load, deadline)
         work = defer.ensureDeferred(attempt.run())
         remaining = max(0.001, deadline - self.clock.seconds())
         work.addTimeout(remaining, self.clock)
         work.addErrback(attempt.to_outcome)
         return work
 
-    def cancel(self, call):
-        """Tell the engine to stop work on an abandoned attempt.
+    def cancel(self, outgoing):
+        """Cancel an unfinished attempt at the engine.
 
-        Without it the engine would go on making tokens that nobody
-        reads, and load from given-up requests would pile up.
+        Without it, the engine would continue to generate tokens that
+        nobody reads, and load from cancelled requests would accumulate.
         """
-        if not call.resume_url:
+        if not outgoing.resume_url:
             return
-        work = self.unpooled.request(b"DELETE", call.resume_url)
+        work = self.unpooled.request(b"DELETE", outgoing.resume_url)
         work.addTimeout(CANCEL_TIMEOUT_SECONDS, self.clock)
         work.addCallback(read_body)
         work.addErrback(lambda _: None)
@@ -129,9 +138,9 @@
 class _Attempt:
     """One attempt in progress."""
 
-    def __init__(self, client, call, sink, on_load, deadline):
+    def __init__(self, client, outgoing, sink, on_load, deadline):
         self.client = client
-        self.call = call
+        self.outgoing = outgoing
         self.sink = sink
         self.on_load = on_load
         self.deadline = deadline
@@ -143,10 +152,10 @@
         self.resumes = 0
 
     async def run(self):
-        """Send the request and take the answer."""
+        """Send the request, receive the response and return the outcome."""
         response = await self.request()
         self.report_load(response)
-        find_refusal = self.call.refusal or parse_refusal
+        find_refusal = self.outgoing.refusal or parse_refusal
         refusal = find_refusal(response)
         if refusal is not NOTHING:
             await self.discard(response)
@@ -156,55 +165,61 @@
         if response.code >= 500:
             await self.discard(response)
             return Unknown(Reason.SERVER_ERROR)
-        if self.call.stream and response.code == 200:
+        if self.outgoing.stream and response.code == 200:
             return await self.receive_stream(response)
         return await self.receive_whole(response)
 
     def request(self):
-        """Start the request.
+        """Send the request and return a deferred of the response.
 
-        A kept connection may be closed by the server at the moment that
-        we write to it; what became of the request is then not known. A
-        request that must not be repeated gets a fresh connection, which
-        fails before anything is written.
+        The server may close a pooled connection while the request is
+        being written to it; whether the request ran is then unknown. A
+        request that must not be repeated therefore uses a new connection,
+        which fails before anything is written.
         """
-        call = self.call
-        agent = self.client.pooled if call.repeatable else self.client.unpooled
+        outgoing = self.outgoing
+        agent = (
+            self.client.pooled if outgoing.repeatable else self.client.unpooled
+        )
         self.producer = WriteTrackingProducer(
-            BytesIO(call.body), cooperator=_ImmediateCooperator()
+            BytesIO(outgoing.body), cooperator=_ImmediateCooperator()
         )
         headers = Headers()
-        for name, value in call.headers:
+        for name, value in outgoing.headers:
             headers.addRawHeader(name, value)
-        headers.setRawHeaders(b"x-request-id", [call.id.encode()])
-        return agent.request(call.method, call.url, headers, self.producer)
+        headers.setRawHeaders(b"x-request-id", [outgoing.id.encode()])
+        return agent.request(
+            outgoing.method, outgoing.url, headers, self.producer
+        )
 
     async def discard(self, response):
-        """Read and drop the rest of an answer."""
+        """Read and discard the body of a response."""
         await read_body(response)
 
     def report_load(self, response):
-        """Pass on the load report that rides on the answer."""
+        """Pass the load report in the response headers to the callback."""
         values = response.headers.getRawHeaders(b"x-load")
         if values:
             self.on_load(values[0])
 
     def check_request_id(self, response):
-        """Check that the answer is to this attempt.
+        """Check that the response echoes the identifier of this attempt.
 
         Raises:
-            ProtocolError: It is someone else's.
+            ProtocolError: The response belongs to another request.
         """
         values = response.headers.getRawHeaders(b"x-request-id")
-        if not values or values[0] != self.call.id.encode():
-            raise ProtocolError("the answer is to another request")
+        if not values or values[0] != self.outgoing.id.encode():
+            raise ProtocolError(
+                "the response does not echo the request identifier"
+            )
 
     async def receive_whole(self, response):
-        """Buffer the answer, check it and hand it over."""
+        """Buffer the response, check it and write it to the sink."""
         body = await read_body(response)
         self.complete = True
-        if self.call.resume_url and not is_json(body):
-            raise ProtocolError("the answer is no JSON")
+        if self.outgoing.resume_url and not is_json(body):
+            raise ProtocolError("the response body is not JSON")
         self.ended = True
         headers = select_headers(response)
         self.sink.start(response.code, headers, length=len(body))
@@ -212,7 +227,7 @@
         return Answered(response.code)
 
     async def receive_stream(self, response):
-        """Pass events on until the end mark; resume after a cut."""
+        """Write events to the sink until the end mark; resume if aborted."""
         while True:
             if not self.started:
                 self.started = True
@@ -229,12 +244,12 @@
                 return Unknown(Reason.TRUNCATED)
 
     async def resume(self):
-        """Ask the same server for the rest of the stream.
+        """Request the rest of the stream from the same server.
 
         Returns:
             The response, or `NOTHING` if the stream cannot be resumed.
         """
-        if self.last_event < 0 or not self.call.resume_url:
+        if self.last_event < 0 or not self.outgoing.resume_url:
             return NOTHING
         while self.resumes < MAX_RESUMES:
             self.resumes += 1
@@ -249,33 +264,38 @@
             self.check_request_id(response)
             self.client.timeline.note(
                 EventKind.RESUMED,
-                request=self.call.id,
+                request=self.outgoing.id,
                 after=self.last_event,
             )
             return response
         return NOTHING
 
     def request_remaining(self):
-        """Request the events after the last one that came whole."""
+        """Request the events after the last complete one."""
         last = str(self.last_event).encode()
         headers = Headers({b"last-event-id": [last]})
         return self.client.unpooled.request(
-            b"GET", self.call.resume_url, headers
+            b"GET", self.outgoing.resume_url, headers
         )
 
     def wait_before_retry(self):
-        """Wait a little before the next try."""
+        """Return a deferred that fires after the delay before a retry."""
         waited = defer.Deferred()
-        call = self.client.clock.callLater(
+        delayed = self.client.clock.callLater(
             RESUME_DELAY_SECONDS * self.resumes, waited.callback, None
         )
-        waited._canceller = lambda _: call.cancel()
+        waited._canceller = lambda _: delayed.cancel()
         return waited
 
     def to_outcome(self, failure):
-        """Turn a failure into the outcome that it allows."""
+        """Return the outcome of a failed attempt.
+
+        Returns:
+            `NotRun` if nothing was written, `Unknown` if the request may
+            have run, or *failure* itself if it is unexpected.
+        """
         if not self.ended and self.written:
-            self.client.cancel(self.call)
+            self.client.cancel(self.outgoing)
         if failure.check(error.ConnectError, error.TimeoutError):
             return NotRun(Reason.CONNECT)
         if not self.written:
@@ -297,15 +317,15 @@
 
     @property
     def written(self):
-        """Whether the server may have seen a byte of the request."""
+        """Whether the server may have received any of the request."""
         return self.producer is not NOTHING and self.producer.written
 
 
 class _EventReader(protocol.Protocol):
-    """Pass whole events of a stream on, as they come.
+    """Write the complete events of a stream to the sink on arrival.
 
-    Only whole events go to the caller, so that a resumed stream neither
-    repeats nor loses the event in which the connection was cut.
+    Only complete events are written, so that a resumed stream neither
+    repeats nor loses the event during which the connection was aborted.
     """
 
     def __init__(self, attempt):
@@ -314,7 +334,7 @@
         self.done = defer.Deferred(self.cancel)
 
     def dataReceived(self, data):
-        """Pass on what is whole."""
+        """Buffer *data* and handle all complete events."""
         buffer = self.buffer + data
         end = buffer.rfind(EVENT_END)
         if end < 0:
@@ -325,7 +345,7 @@
         self.handle_events(buffer[:end])
 
     def handle_events(self, events):
-        """Note number and end mark of whole events, and pass them on."""
+        """Record the last number and the end mark; write the events."""
         last = last_event_id(events)
         if last >= 0:
             self.attempt.last_event = last
@@ -334,26 +354,26 @@
         self.attempt.sink.write(events)
 
     def connectionLost(self, reason):
-        """Tell that no more will come, by whatever cause."""
+        """Fire *done* with whether the response ended properly."""
         if not self.done.called:
             self.done.callback(reason.check(ResponseDone) is not None)
 
     def cancel(self, done):
-        """Drop the connection of an abandoned attempt."""
+        """Close the connection of a cancelled attempt."""
         if self.transport is not None:
             self.transport.loseConnection()
 
 
 class _ImmediateCooperator:
-    """Cooperator that writes a body in one go; bodies are in memory."""
+    """Cooperator that writes a body at once, since bodies are in memory."""
 
     def cooperate(self, iterator):
-        """Run *iterator* to its end."""
+        """Run *iterator* to its end and return a completed task."""
         return _CompletedTask(iterator)
 
 
 class _CompletedTask:
-    """Task of a body that has been written."""
+    """Cooperator task of a body that has been written."""
 
     def __init__(self, iterator):
         for _ in iterator:
@@ -364,20 +384,20 @@
         return defer.succeed(None)
 
     def stop(self):
-        """Do nothing; it is done."""
+        """Do nothing, since the task is complete."""
 
     def pause(self):
-        """Do nothing; it is done."""
+        """Do nothing, since the task is complete."""
 
     def resume(self):
-        """Do nothing; it is done."""
+        """Do nothing, since the task is complete."""
 
 
 def last_event_id(events):
     """Return the number of the last numbered event, or -1.
 
-    Data lines are JSON, in which a line break never stands as such, so
-    a line that starts with the field name is the field.
+    Data lines are JSON, which contains no unescaped line break, so a
+    line that starts with the field name is that field.
     """
     start = events.rfind(b"\n" + EVENT_ID) + 1
     if not events.startswith(EVENT_ID, start):
@@ -388,7 +408,7 @@
 
 
 def parse_refusal(response):
-    """Return `NotRun` if the server says that it did not run it."""
+    """Return `NotRun` if the server reports that it did not run it."""
     values = response.headers.getRawHeaders(NOT_RUN_HEADER)
     if values:
         if values[0] == b"leaving":
@@ -400,7 +420,7 @@
 
 
 def select_headers(response):
-    """Return the headers of an answer that callers get."""
+    """Return the response headers that are passed on to the caller."""
     return [
         (name, value)
         for name in RELAYED_HEADERS
@@ -423,7 +443,7 @@
     Args:
         request: The `Request`.
         attempt: Identifier of the attempt.
-        target: Target, maybe a fallback of the requested one.
+        target: The requested target or one of its fallbacks.
         address: Address of the server as ``ip:port``.
         message: The caller's `CallerMessage`.
     """
@@ -466,7 +486,12 @@
     body: bytes
 
     def body_for(self, target, requested):
-        """Return the body, naming *target* if it is a fallback."""
+        """Return the body, with the model replaced if *target* is a fallback.
+
+        Args:
+            target: Target of the attempt.
+            requested: Target that the caller requested.
+        """
         if target == requested:
             return self.body
         values = msgspec.json.decode(self.body)
--- a/src/hyssopspring/net/callers.py
+++ b/src/hyssopspring/net/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers."""
+"""HTTP API for callers: model calls, service calls, lists and health."""
 
 import uuid
 
@@ -15,6 +15,8 @@
 from .serving import header, respond_json
 
 PREFIX_BYTES = 256
+"""Bytes of the prompt's start that the prefix hash covers."""
+
 SERVICES_PATH = b"/services/"
 PRIORITIES = {
     "interactive": Priority.INTERACTIVE,
@@ -22,13 +24,14 @@
     "batch": Priority.BATCH,
 }
 MAX_KEY_CHARACTERS = 255
+"""Longest idempotency key that a caller may send."""
 
 
-class RequestRejected(Exception):  # noqa: N818 - an outcome, not a fault of ours
-    """A request that ends before any attempt.
+class RequestRejected(Exception):  # noqa: N818 - an outcome, not an error
+    """Raised if a request is rejected before its first attempt.
 
     Attributes:
-        outcome: What its caller is told.
+        outcome: The `NotRun` that is sent to the caller.
     """
 
     def __init__(self, reason, retry_after=1.0):
@@ -37,7 +40,10 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """What the gateway reads of a body; engines read the rest."""
+    """The fields of a request body that the gateway decodes.
+
+    All other fields are passed through to the engine.
+    """
 
     model: str
     stream: bool = False
@@ -46,14 +52,14 @@
 
 
 class CallerApi:
-    """Serve callers.
+    """Serve the HTTP requests of callers.
 
     Args:
         state: The `HostState`.
         dispatcher: The `Dispatcher`.
-        drain: The `Drain`.
+        drain: The `Drain` that counts requests in progress.
         interceptors: `Interceptors` that run before the first attempt.
-        entry_hosts: Called for the list of hosts to use.
+        entry_hosts: Returns the list of hosts that callers should use.
     """
 
     def __init__(self, state, dispatcher, drain, interceptors, entry_hosts):
@@ -65,7 +71,7 @@
         self.body_decoder = msgspec.json.Decoder(CompletionBody)
 
     def add_routes(self, router):
-        """Add the paths for callers."""
+        """Register the routes for callers."""
         router.add("POST", "/v1/completions", self.model_call)
         router.add("POST", "/v1/chat/completions", self.model_call)
         router.add("*", "/services/", self.service_call)
@@ -75,11 +81,11 @@
         router.add("GET", "/readyz", self.ready)
 
     def health(self, http_request):
-        """Answer that the process runs."""
+        """Respond that the process is running."""
         respond_json(http_request, 200, {"status": "ok"})
 
     def ready(self, http_request):
-        """Answer whether the host takes new requests."""
+        """Respond whether the host accepts new requests."""
         generation = self.state.keeper.generation
         ready = generation > 0 and not self.drain.leaving
         respond_json(
@@ -89,11 +95,11 @@
         )
 
     def list_hosts(self, http_request):
-        """Answer which entry hosts to use, best first."""
+        """Respond with the entry hosts to use, best first."""
         respond_json(http_request, 200, self.entry_hosts())
 
     def list_models(self, http_request):
-        """Answer with the models that the caller may use."""
+        """Respond with the models that the caller is permitted to use."""
         try:
             workspace = self.authenticate(http_request)
         except RequestRejected as rejection:
@@ -122,7 +128,13 @@
         await self.serve(http_request, self.parse_service_call)
 
     async def serve(self, http_request, parse):
-        """Read a request, pass it through the gates and carry it out."""
+        """Parse a request, execute it and finish its response.
+
+        Args:
+            http_request: The `twisted.web` request.
+            parse: Returns the `Request` and the `CallerMessage`, or raises
+                `RequestRejected`.
+        """
         identifier = uuid.uuid4().hex
         sink = Sink(
             http_request,
@@ -143,7 +155,7 @@
             self.finish_response(request, outcome, sink)
 
     async def execute(self, request, message, sink):
-        """Return the outcome of a request that was read."""
+        """Run a parsed request through the interceptors to its outcome."""
         self.state.timeline.note(
             EventKind.REQUEST,
             request=request.id,
@@ -155,7 +167,7 @@
         )
 
     def finish_response(self, request, outcome, sink):
-        """End the answer, or tell the caller why there is none."""
+        """Finish the response, or send the reason why there is none."""
         if isinstance(outcome, Answered):
             sink.finish()
             kind = EventKind.ANSWERED
@@ -169,11 +181,11 @@
         self.state.timeline.note(kind, request=request.id, **details)
 
     def authenticate(self, http_request):
-        """Return the workspace of the caller's key.
+        """Return the workspace that owns the caller's API key.
 
         Raises:
-            Refused: The host has no configuration, or nobody has the
-                key.
+            RequestRejected: The host has no configuration yet, or no
+                workspace owns the key.
         """
         keeper = self.state.keeper
         if not keeper.generation:
@@ -238,10 +250,14 @@
         stream=False,
         prefix=0,
     ):
-        """Return the `Request` with all rights and wishes resolved.
+        """Build the `Request` from the headers and the configuration.
+
+        Limits of the workspace and of the target bound what the caller
+        asks for.
 
         Raises:
-            Refused: Nothing may serve it, or a header is wrong.
+            RequestRejected: The host is draining, no region may serve the
+                request, or a header is invalid.
         """
         if self.drain.refusing:
             raise RequestRejected(Reason.LEAVING)
@@ -270,7 +286,9 @@
         """Return the regions that may serve the request.
 
         Raises:
-            Refused: There is none, or this host must not decide.
+            RequestRejected: No region is left, or this host may not
+                decide on the request because its configuration may be
+                outdated.
         """
         configuration = self.state.keeper.enforced
         residency = configuration.permitted(workspace, target)
@@ -291,7 +309,11 @@
         return residency
 
     def is_repeatable(self, http_request, workspace, target):
-        """Whether all who have a say let the request run twice."""
+        """Whether the request may run more than once.
+
+        The caller, the workspace, the target and all of its fallbacks must
+        permit it.
+        """
         if header(http_request, "hyssop-repeatable").lower() == "no":
             return False
         configuration = self.state.keeper.enforced
@@ -302,10 +324,10 @@
 
 
 def parse_deadline(http_request, max_ms):
-    """Return the seconds that the caller gives, at most *most_ms*.
+    """Return the caller's deadline in seconds, at most *max_ms*.
 
     Raises:
-        Refused: The header is no positive number.
+        RequestRejected: The header is not a positive integer.
     """
     text = header(http_request, "hyssop-deadline-ms")
     if not text:
@@ -316,10 +338,10 @@
 
 
 def parse_priority(http_request):
-    """Return the `Priority` that the caller gives.
+    """Return the `Priority` from the caller's header.
 
     Raises:
-        Refused: There is no such priority.
+        RequestRejected: The header names no known priority.
     """
     text = header(http_request, "hyssop-priority", "normal").lower()
     if text not in PRIORITIES:
@@ -328,10 +350,10 @@
 
 
 def parse_idempotency_key(http_request):
-    """Return the idempotency key, or `NOTHING`.
+    """Return the idempotency key, or `NOTHING` if there is none.
 
     Raises:
-        Refused: It is too long.
+        RequestRejected: The key is too long.
     """
     key = header(http_request, "idempotency-key")
     if len(key) > MAX_KEY_CHARACTERS:
@@ -340,7 +362,10 @@
 
 
 def hash_prompt_prefix(values):
-    """Return a hash of the start of the prompt."""
+    """Return a hash of the start of the prompt.
+
+    Of a chat, the first four messages are considered.
+    """
     if values.messages:
         start = b"".join(bytes(part) for part in values.messages[:4])
     elif isinstance(values.prompt, str):
--- a/src/hyssopspring/net/clients.py
+++ b/src/hyssopspring/net/clients.py
@@ -1,4 +1,4 @@
-"""Small HTTP client helpers on `twisted.web.client`."""
+"""HTTP client helpers for `twisted.web.client`."""
 
 from io import BytesIO
 
@@ -18,8 +18,14 @@
 from ..core.sentinels import NOTHING
 
 CONNECT_TIMEOUT_SECONDS = 0.5
+"""Default time limit for opening a connection."""
+
 MAX_POOLED_CONNECTIONS = 64
+"""Idle connections that a pool keeps for each address."""
+
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Default limit of a response body, which is buffered in memory."""
+
 NETWORK_FAILURES = (
     error.ConnectError,
     error.ConnectingCancelledError,
@@ -31,22 +37,22 @@
     ResponseFailed,
     PotentialDataLoss,
 )
-"""What a request fails with when no whole answer comes."""
+"""Exceptions of a request that received no complete response."""
 
 
 def make_agent(
     reactor, *, persistent=True, connect_timeout=CONNECT_TIMEOUT_SECONDS
 ):
-    """Return an agent whose pool never repeats a request by itself.
+    """Return an agent whose connection pool never retries a request.
 
-    The pool's own retry would send a request a second time when a kept
-    connection turns out to be closed, without any of our checks on
-    whether it may be repeated.
+    The built-in retry of the pool sends a request a second time if a
+    pooled connection turns out to be closed, without checking whether the
+    request may be repeated.
 
     Args:
         reactor: The reactor.
-        persistent: Whether to keep connections for later requests.
-        connect_timeout: Longest time to connect, in seconds.
+        persistent: Whether to reuse connections for later requests.
+        connect_timeout: Time limit for opening a connection, in seconds.
     """
     pool = HTTPConnectionPool(reactor, persistent=persistent)
     pool.retryAutomatically = False
@@ -59,20 +65,20 @@
 async def fetch_json(
     agent, method, url, value=NOTHING, *, clock, timeout, headers=NOTHING
 ):
-    """Send *value* as JSON and return the status and the decoded answer.
+    """Send *value* as JSON and return the status and the decoded response.
 
     Args:
         agent: The agent to use.
         method: HTTP method, as bytes.
-        url: Address, as text.
-        value: What to send, or `NOTHING` for no body.
-        clock: The runtime's clock.
-        timeout: Longest time for all of it, in seconds.
-        headers: More `Headers` to send.
+        url: URL, as text.
+        value: Value to send, or `NOTHING` for no body.
+        clock: The clock (the reactor).
+        timeout: Time limit for the whole exchange, in seconds.
+        headers: Additional `Headers` to send.
 
     Raises:
-        NoAnswerError: No whole answer came in time.
-        ProtocolError: The answer is no JSON, or too long.
+        NoAnswerError: No complete response was received in time.
+        ProtocolError: The response is not JSON, or is too large.
     """
     sent = NOTHING
     if value is not NOTHING:
@@ -91,17 +97,17 @@
     try:
         return status, msgspec.json.decode(body)
     except msgspec.DecodeError as problem:
-        raise ProtocolError(f"answer of {url} is no JSON") from problem
+        raise ProtocolError(f"response of {url} is not JSON") from problem
 
 
 async def fetch(
     agent, method, url, body=NOTHING, *, clock, timeout, headers=NOTHING
 ):
-    """Send *body* and return the status and the body of the answer.
+    """Send *body* and return the status and the body of the response.
 
     Raises:
-        NoAnswerError: No whole answer came in time.
-        ProtocolError: The answer is too long.
+        NoAnswerError: No complete response was received in time.
+        ProtocolError: The response is too large.
     """
     sent = Headers(dict(headers.getAllRawHeaders()) if headers else {})
     if body is not NOTHING and not sent.hasHeader(b"content-type"):
@@ -118,24 +124,27 @@
 
 
 async def _request(agent, method, url, headers, producer):
-    """Send one request and read its whole answer."""
+    """Send one request and read its whole response."""
     response = await agent.request(method, url, headers, producer)
     body = await read_body(response)
     return response.code, body
 
 
 def open_stream(agent, url, value):
-    """Post *value* as JSON and return a deferred response to read from."""
+    """Post *value* as JSON and return a deferred of the response.
+
+    The body of the response is left to the caller to read.
+    """
     body = FileBodyProducer(BytesIO(msgspec.json.encode(value)))
     headers = Headers({b"content-type": [b"application/json"]})
     return agent.request(b"POST", url.encode(), headers, body)
 
 
 def read_body(response, limit=MAX_RESPONSE_BYTES):
-    """Return a deferred of the response's whole body.
+    """Return a deferred of the whole body of *response*.
 
-    The deferred fails if the body ends before its announced length, or
-    is longer than *limit* bytes. Cancelling it closes the connection.
+    The deferred fails if the body ends before its Content-Length, or if
+    it is longer than *limit* bytes. Cancelling it closes the connection.
     """
     reader = BodyReader(limit)
     response.deliverBody(reader)
@@ -143,7 +152,11 @@
 
 
 class BodyReader(protocol.Protocol):
-    """Collect a body of limited length."""
+    """Buffer a response body of limited size.
+
+    Args:
+        limit: Largest body, in bytes.
+    """
 
     def __init__(self, limit):
         self.limit = limit
@@ -152,14 +165,14 @@
         self.done = defer.Deferred(self.cancel)
 
     def dataReceived(self, data):
-        """Keep one part."""
+        """Buffer *data*, or fail if the body exceeds the limit."""
         self.parts.append(data)
         self.size += len(data)
         if self.size > self.limit:
-            self.fail(ProtocolError("answer too long"))
+            self.fail(ProtocolError("response body is too large"))
 
     def connectionLost(self, reason):
-        """Hand over the body, if it came whole."""
+        """Fire *done* with the body if it is complete, else with *reason*."""
         if self.done.called:
             return
         if reason.check(ResponseDone):
@@ -168,12 +181,12 @@
             self.done.errback(reason)
 
     def cancel(self, done):
-        """Drop the connection of a reader that nobody waits for."""
+        """Close the connection when the deferred is cancelled."""
         if self.transport is not None:
             self.transport.loseConnection()
 
     def fail(self, failure):
-        """Give up on the body."""
+        """Fail with *failure* and close the connection."""
         if not self.done.called:
             self.done.errback(failure)
             self.transport.loseConnection()
--- a/src/hyssopspring/net/crashdetection.py
+++ b/src/hyssopspring/net/crashdetection.py
@@ -1,4 +1,4 @@
-"""Calls under which backend servers end, as a gateway knows them."""
+"""Detection of calls under which backend servers crash."""
 
 from twisted.internet import error, protocol
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
@@ -15,37 +15,41 @@
 __all__ = ["CRASH_TOPIC", "AttemptTiming", "CallCrashDetector"]
 
 CRASH_TOPIC = b"c"
+"""Topic of `CallSuspects` messages between hosts."""
 
 PROBE_TIMEOUT_SECONDS = 0.1
-"""Seconds to connect to a server that broke off; it refuses in 2 ms if it
-has ended, and says nothing without power."""
+"""Time limit for connecting to a server that aborted a response. If its
+process has ended, its machine refuses the connection within 2 ms; a machine
+without power does not respond at all."""
 
 DEFERRED_RETRY_AFTER_SECONDS = 0.5
-"""Seconds after which a call may come back that waits for another one, or
-for word of what else ended."""
+"""Retry-After of a call that is deferred until another suspected call has
+finished, or until more is known about which servers crashed."""
 
 BROADCAST_INTERVAL_SECONDS = 5.0
-"""Seconds between two messages on all that is known, for hosts that missed
-a message, were cut off or have just started."""
+"""Interval of the broadcasts of all shared suspects. They are for hosts that
+missed a message, were isolated or have just started."""
 
 MAX_BROADCAST_ROWS = 20
-"""Calls in such a message, 5 KB at most: with one each five seconds half of
-what a host may spend on control, while servers end."""
+"""Calls in one broadcast, which is 5 KB at most. With one message every five
+seconds it takes half of the bandwidth that a host may use for control
+messages, while servers crash."""
 
 CONNECTION_BROKEN_REASONS = (Reason.CONNECTION_LOST, Reason.TRUNCATED)
+"""Reasons of an attempt whose connection or stream the server aborted."""
 
 
 class CallCrashDetector:
-    """Refuse calls under which servers end, and tell other hosts of them.
+    """Refuse calls under which servers crash, and report them to all hosts.
 
-    Callers name themselves by keys here, so a call is known by its
-    workspace, target, path and body.
+    Callers are identified by their API keys here, so a call is identified
+    by its workspace, target, method, path and body.
 
     Args:
         host: Name of this host.
-        clock: The runtime's clock.
-        timeline: The `Timeline`.
-        publish: Called with a `CallSuspects` for all hosts.
+        clock: The clock (the reactor).
+        timeline: The `Timeline`, the event log.
+        publish: Called with a `CallSuspects` to send to all hosts.
     """
 
     def __init__(self, host, clock, timeline, publish):
@@ -58,11 +62,14 @@
         self.next_broadcast_at = 0.0
 
     def refusal(self, request, message):
-        """Return a `NotRun` if a call may go to no server now, or `NOTHING`.
+        """Return a `NotRun` if a call must not be sent now, else `NOTHING`.
+
+        A blocked call is refused. A suspected call is either deferred, or
+        run while no other suspected call runs on this host.
 
         Args:
             request: The `Request`.
-            message: Its `Message`.
+            message: Its `CallerMessage`.
         """
         if not self.crashes.suspects:
             return NOTHING
@@ -70,7 +77,7 @@
         fingerprint = fingerprint_of(request, message)
         verdict = self.crashes.verdict(fingerprint, "", now)
         if verdict is Verdict.BLOCKED:
-            # It is tried again when it is forgotten, and not sooner.
+            # The block is removed when it expires, and not sooner.
             return NotRun(Reason.CRASHES_SERVERS, KEPT)
         must_wait = verdict is Verdict.ALONE and self.isolated - {request.id}
         if verdict is Verdict.HELD or must_wait:
@@ -80,20 +87,24 @@
         return NOTHING
 
     def request_finished(self, request):
-        """Note that a call is over."""
+        """Record that a request has finished."""
         self.isolated.discard(request.id)
 
     async def check_attempt(
         self, request, message, server, address, outcome, times
     ):
-        """Note whether a server ended under a call, or ran it well.
+        """Record whether a server crashed under a call or ran it successfully.
+
+        A crash is assumed if the response was aborted soon after the
+        server began to run the call and its address now refuses
+        connections.
 
         Args:
             request: The `Request`.
-            message: Its `Message`.
-            server: The start of a server.
-            address: Its ``ip:port``.
-            outcome: How the attempt ended.
+            message: Its `CallerMessage`.
+            server: Identifier of the server instance.
+            address: Address of the server as ``ip:port``.
+            outcome: Outcome of the attempt.
             times: The `AttemptTiming`.
         """
         if isinstance(outcome, Answered):
@@ -110,7 +121,7 @@
             )
 
     async def refuses_connections(self, address):
-        """Whether nobody listens at *address* any more."""
+        """Whether connections to *address* are refused."""
         ip, port = split_address(address)
         endpoint = TCP4ClientEndpoint(
             self.clock, ip, port, PROBE_TIMEOUT_SECONDS
@@ -123,12 +134,12 @@
         return False
 
     def record_success(self, fingerprint):
-        """Note that a call ran well."""
+        """Record that a call ran without a crash."""
         if self.crashes.note_run(fingerprint, "", self.clock.seconds()):
             self.broadcast([self.crashes.suspects[fingerprint]])
 
     def record_crash(self, request, fingerprint, server):
-        """Note that a server ended as a call started_at on it."""
+        """Record that a server crashed when it began to run a call."""
         now = self.clock.seconds()
         self.timeline.note(
             EventKind.SERVER_ENDED,
@@ -141,16 +152,16 @@
             self.broadcast([self.crashes.suspects[fingerprint]])
 
     def broadcast(self, suspects):
-        """Tell all hosts of some calls."""
+        """Send the first `MAX_BROADCAST_ROWS` of *suspects* to all hosts."""
         now = self.clock.seconds()
         rows = [row_of(one, now) for one in suspects[:MAX_BROADCAST_ROWS]]
         self.publish(CallSuspects(host=self.host, rows=rows))
 
     def handle_message(self, message):
-        """Take over what another host tells, and pass on what is news.
+        """Merge the suspects of another host and rebroadcast the changes.
 
-        A host is connected to few of another data centre; the others hear
-        it from these.
+        A host is connected to only a few hosts of another data centre;
+        the rest receive the message from these.
         """
         now = self.clock.seconds()
         updated = []
@@ -164,7 +175,10 @@
             self.broadcast(updated)
 
     def tick(self):
-        """Do what is due; called once a heartbeat interval."""
+        """Block calls that are found to crash servers, and broadcast suspects.
+
+        It is called once per heartbeat interval.
+        """
         now = self.clock.seconds()
         for suspect in self.crashes.judge(now):
             self.timeline.note(
@@ -176,20 +190,24 @@
             return
         self.next_broadcast_at = now + BROADCAST_INTERVAL_SECONDS
         self.crashes.expire(now)
-        confirmed = self.crashes.told_to_all()
-        if confirmed:
-            self.broadcast(confirmed)
+        shared = self.crashes.told_to_all()
+        if shared:
+            self.broadcast(shared)
 
 
 class AttemptTiming:
-    """When an attempt was sent, was to begin, started_at and ended.
+    """Times of an attempt and whether it ended early.
 
     Args:
-        started_at: Time at which it was sent.
-        predicted: Seconds in which it was to begin.
-        first_body_at: Time of the first of its answer, or `NOTHING`.
-        headed: Whether the head of its answer had come.
-        now: Time of its end.
+        started_at: Time at which the attempt was sent.
+        predicted: Predicted wait in seconds until the server begins.
+        first_body_at: Time of the first part of the response body, or
+            `NOTHING`.
+        head_received: Whether the response head was received.
+        now: Time at which the attempt ended.
+
+    Attributes:
+        early: Whether the call may be the cause if its server crashed.
     """
 
     def __init__(
@@ -207,7 +225,7 @@
 
 
 def fingerprint_of(request, message):
-    """Return what repeats of a call have in common."""
+    """Return the fingerprint that all repeats of a call share."""
     target = request.target
     return digest_of(
         (
--- a/src/hyssopspring/net/dispatching.py
+++ b/src/hyssopspring/net/dispatching.py
@@ -1,4 +1,4 @@
-"""Carry out the plan of a request, attempt by attempt."""
+"""Execution of requests: attempts at servers and other data centres."""
 
 from dataclasses import dataclass, replace
 
@@ -24,10 +24,11 @@
     Reason.SERVER_ERROR,
     Reason.DEADLINE,
 )
+"""Reasons that count as a failure of the backend server."""
 
 
 class ReportedLoad(msgspec.Struct, frozen=True):
-    """Load report as backend servers send it."""
+    """Load report in the form that backend servers send."""
 
     incarnation: str
     sequence: int
@@ -38,27 +39,33 @@
 
 
 LOAD_DECODER = msgspec.json.Decoder(ReportedLoad)
+"""Decoder of the load reports of backend servers."""
+
 DATA_CENTRE_LOAD_DECODER = msgspec.json.Decoder(tuple[int, float, float])
+"""Decoder of the ``x-load`` header of a host: slots, load and wait."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostState:
-    """What the decisions on this host share.
+    """State that the components of a host share.
 
     Attributes:
         host: Name of this host.
         region: Its region.
         data_centre: Its data centre.
-        clock: The runtime's clock.
-        timeline: The `Timeline`.
+        clock: The clock (the reactor).
+        timeline: The `Timeline`, the event log.
         table: `ServerTable` of the data centre.
         centres: `CentreTable` of the other data centres.
         keeper: `GenerationKeeper` of the configuration.
         budget: `RetryBudget` of the host.
         rng: Random number generator.
-        policy: Name of the choice within the data centre.
-        trust: The `Trust` in the configuration.
-        crash_detector: `CallCrashDetector` of calls under which servers ended.
+        policy: Name of the policy that chooses among the servers of the data
+            centre.
+        trust: The `Trust`, which decides whether the configuration may be
+            out of date.
+        crash_detector: `CallCrashDetector` that blocks requests under which
+            servers crash.
     """
 
     host: str
@@ -77,11 +84,11 @@
 
 
 class Dispatcher:
-    """Carry out requests.
+    """Execute requests.
 
     Args:
         state: The `HostState`.
-        client: `BackendClient` for servers and peers.
+        client: `BackendClient` for backend servers and other hosts.
         signer: `Signer` for forwarded requests.
     """
 
@@ -92,16 +99,17 @@
         self.active = {}
 
     async def run(self, request, message, sink):
-        """Carry out one request.
+        """Execute one request.
 
         Args:
             request: The `Request`.
             message: Its `CallerMessage`.
-            sink: Where the answer goes.
+            sink: `Sink` that the response is written to.
 
         Returns:
-            The final outcome. The sink has got the answer if it is
-            `Answered`, and nothing more is ever written to it.
+            The final outcome. If it is `Answered`, the whole response has
+            been written to the sink. Nothing is written to the sink
+            afterwards.
         """
         state = self.state
         plan = Plan(
@@ -119,7 +127,7 @@
             state.crash_detector.request_finished(request)
 
     async def run_plan(self, plan, message, sink):
-        """Make the attempts of a plan; return the final outcome."""
+        """Run the attempts of a plan and return the final outcome."""
         state = self.state
         request = plan.request
         while True:
@@ -138,11 +146,12 @@
             plan.record(outcome)
 
     def refresh_permissions(self, plan):
-        """Let the next attempt go by the rights of this moment.
+        """Update the plan to the permissions that are in force now.
 
-        A request may run for long. A right that was withdrawn meanwhile,
-        or that this host must not use while it is confined, would come
-        back with each retry if the plan kept what it began with.
+        A request may run for a long time. If the plan kept the permissions
+        that it was created with, each retry would use permissions that
+        have been revoked since, or that this host must not use while it
+        is confined to its home region.
         """
         state = self.state
         request = plan.request
@@ -158,18 +167,20 @@
         plan.request = replace(request, residency=residency)
 
     async def attempt(self, request, message, sink, step):
-        """Carry out one step and return its outcome."""
-        ensure(not sink.started, "an attempt after an answer has begun")
+        """Execute one step of the plan and return its outcome."""
+        ensure(
+            not sink.started, "attempt started after the response was started"
+        )
         if isinstance(step, Serve):
             return await self.serve(request, message, sink, step)
         return await self.forward(request, message, sink, step)
 
     async def serve(self, request, message, sink, step):
-        """Send an attempt to a backend server."""
+        """Send an attempt to a backend server and return its outcome."""
         state = self.state
         entry = step.server.entry
         attempt = f"{request.id}-{step.number}"
-        call = build_backend_request(
+        outgoing = build_backend_request(
             request, attempt, step.target, entry.address, message
         )
         state.timeline.note(
@@ -181,7 +192,7 @@
         try:
             outcome = await self.send(
                 request,
-                call,
+                outgoing,
                 sink,
                 lambda data: self.apply_load_report(entry.name, data),
             )
@@ -204,10 +215,10 @@
         )
         return outcome
 
-    async def send(self, request, call, sink, on_load):
-        """Send *call* and wait for its outcome, unless it is given up."""
+    async def send(self, request, outgoing, sink, on_load):
+        """Send *outgoing*, until `cancel_request`, and return its outcome."""
         work = self.client.send(
-            call,
+            outgoing,
             sink,
             deadline=request.deadline,
             on_load=on_load,
@@ -219,7 +230,14 @@
             self.active.pop(request.id, None)
 
     def record_end(self, name, outcome, sink, started_at):
-        """Count the end of an attempt at a backend server."""
+        """Record the end of an attempt in the server table.
+
+        Args:
+            name: Name of the backend server.
+            outcome: Outcome of the attempt, or `NOTHING` if it raised.
+            sink: The `Sink` of the response.
+            started_at: Time at which the attempt was sent.
+        """
         now = self.state.clock.seconds()
         failed = getattr(outcome, "reason", NOTHING) in SERVER_FAILURE_REASONS
         first = making = NOTHING
@@ -237,14 +255,14 @@
             self.state.table.mark_leaving(name)
 
     async def forward(self, request, message, sink, step):
-        """Send an attempt to a gateway of another data centre."""
+        """Forward an attempt to a gateway of another data centre."""
         state = self.state
         state.timeline.note(
             EventKind.FORWARD,
             request=request.id,
             data_centre=step.summary.data_centre,
         )
-        call = build_forward_request(
+        outgoing = build_forward_request(
             request, message, step, state, self.signer
         )
 
@@ -252,10 +270,10 @@
             self.apply_data_centre_load(step, data)
 
         state.centres.begin(step.summary.data_centre)
-        return await self.send(request, call, sink, on_load)
+        return await self.send(request, outgoing, sink, on_load)
 
     def apply_load_report(self, server, data):
-        """Take over a load report that rode on an answer."""
+        """Apply a load report from the headers of a server's response."""
         try:
             load = LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
@@ -265,7 +283,7 @@
         )
 
     def apply_data_centre_load(self, step, data):
-        """Take over another data centre's load from its answer."""
+        """Apply the load of another data centre from its response."""
         try:
             load = DATA_CENTRE_LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
@@ -278,13 +296,13 @@
         )
 
     def cancel_request(self, identifier):
-        """Give up the request since its caller has gone."""
+        """Cancel a request whose caller has disconnected."""
         work = self.active.pop(identifier, NOTHING)
         if work is not NOTHING:
             work.cancel()
 
     def log_failure(self, request, step, outcome):
-        """Put the end of a failed attempt on the time line."""
+        """Log the end of a failed attempt to the event log."""
         destination = step.server.entry.name if isinstance(step, Serve) else ""
         if isinstance(step, Forward):
             destination = step.summary.data_centre
@@ -298,20 +316,20 @@
 
 
 def instance_of(server):
-    """Return the name of this start of a server."""
+    """Return the identifier of a server's running instance."""
     if server.report is NOTHING:
         return server.entry.name
     return f"{server.entry.name}/{server.report.incarnation}"
 
 
 def reported_load(load, now):
-    """Return the `LoadReport` of a server's own report."""
+    """Return the `LoadReport` of a report that the server itself sent."""
     short = short_id(load.incarnation)
     return replace(load_report(load, now), incarnation=short)
 
 
 def load_report(load, now):
-    """Return the `LoadReport` of a report that arrived at *now*."""
+    """Return the `LoadReport` of a report that was received at *now*."""
     return LoadReport(
         incarnation=load.incarnation,
         sequence=load.sequence,
--- a/src/hyssopspring/net/draining.py
+++ b/src/hyssopspring/net/draining.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: count what is in progress and wait for it."""
+"""Graceful shutdown: wait for the requests in progress."""
 
 from contextlib import contextmanager
 
@@ -8,12 +8,14 @@
 
 
 class Drain:
-    """Track requests in progress, and whether new ones are refused.
+    """Track the requests in progress and the state of the shutdown.
 
     Attributes:
-        leaving: Whether the host has told others that it leaves.
+        leaving: Whether the host reports to others that it is shutting down.
         refusing: Whether new requests are refused.
-        active: Requests in progress.
+        active: Number of requests in progress.
+        idle_waiter: Deferred that fires when no request is in progress, or
+            `NOTHING` if nobody waits.
     """
 
     def __init__(self):
@@ -24,7 +26,7 @@
 
     @contextmanager
     def track_request(self):
-        """Count one request for as long as the block runs."""
+        """Count one request while the block runs."""
         self.active += 1
         try:
             yield
@@ -33,14 +35,14 @@
             self.notify_if_idle()
 
     def notify_if_idle(self):
-        """Tell who waits once nothing is in progress."""
+        """Fire `idle_waiter` if no request is in progress."""
         if self.active or self.idle_waiter is NOTHING:
             return
         idle_waiter, self.idle_waiter = self.idle_waiter, NOTHING
         idle_waiter.callback(None)
 
     def wait_until_idle(self):
-        """Return a deferred that fires when nothing is in progress."""
+        """Return a deferred that fires when no request is in progress."""
         self.idle_waiter = defer.Deferred()
         done = self.idle_waiter
         self.notify_if_idle()
--- a/src/hyssopspring/net/forwarding.py
+++ b/src/hyssopspring/net/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that one host forwards to another data centre."""
+"""Forwarding of requests to hosts of other data centres."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -22,12 +22,12 @@
 
 
 def build_forward_request(request, message, step, state, signer):
-    """Return the `OutgoingRequest` that forwards *request*.
+    """Return the signed `OutgoingRequest` that forwards *request*.
 
     Args:
         request: The `Request`.
         message: Its `CallerMessage`.
-        step: The `Forward` step.
+        step: The `Forward` step of the plan.
         state: The `HostState`.
         signer: The `Signer`.
     """
@@ -51,7 +51,7 @@
 
 
 def build_head(request, message, step, state):
-    """Return the `ForwardedHead` of a request for another host."""
+    """Return the `ForwardedHead` that describes a request."""
     return ForwardedHead(
         id=f"{request.id}-{step.number}",
         attempt=step.number,
@@ -80,7 +80,7 @@
         state: The `HostState`.
         dispatcher: The `Dispatcher`.
         signer: The `Signer`.
-        drain: The `Drain`.
+        drain: The `Drain` that counts requests in progress.
     """
 
     def __init__(self, state, dispatcher, signer, drain):
@@ -90,11 +90,11 @@
         self.drain = drain
 
     def add_routes(self, router):
-        """Add the path for forwarded requests."""
+        """Register the route for forwarded requests."""
         router.add("POST", FORWARD_PATH, self.serve)
 
     async def serve(self, http_request):
-        """Serve one forwarded request on this data centre's servers."""
+        """Serve one forwarded request on the servers of this data centre."""
         try:
             head, body = self.authenticate(http_request)
         except ProtocolError as error:
@@ -129,13 +129,13 @@
         await self.execute(http_request, request, message, sink)
 
     def encode_load(self, head):
-        """Return slots, load and wait of the target, for the sender."""
+        """Return the slots, load and wait of the target, encoded as JSON."""
         target = Target(TargetKind(head.kind), head.target)
         totals = self.state.table.summary(self.state.clock.seconds())
         return msgspec.json.encode(totals.get(target, (0, 0.0, 0.0)))
 
     async def execute(self, http_request, request, message, sink):
-        """Dispatch the request and send its outcome back."""
+        """Dispatch the request and respond with its outcome."""
         disconnected = http_request.notifyFinish()
         disconnected.addErrback(
             lambda _: self.dispatcher.cancel_request(request.id)
@@ -148,13 +148,14 @@
                 sink.fail(outcome)
 
     def authenticate(self, http_request):
-        """Check the signature; return the head and the body.
+        """Check the signature and return the head and the body.
 
-        Callers reach the same network. Without the signature one could
-        claim any workspace and any residency for itself.
+        Callers can reach the same network. Without the signature, a
+        caller could claim any workspace and any residency.
 
         Raises:
-            ProtocolError: The request is not one of our hosts'.
+            ProtocolError: The request was not signed by another host of
+                the deployment, or its head is malformed.
         """
         http_request.content.seek(0)
         body = http_request.content.read()
@@ -164,13 +165,15 @@
                 http_request.getHeader(SIGNATURE_HEADER) or b""
             )
         except Base64Error as error:
-            raise ProtocolError(f"bad encoding: {error}") from None
+            raise ProtocolError(
+                f"base64 header of a forwarded request is invalid: {error}"
+            ) from None
         if not self.signer.verify(signature, head, body):
-            raise ProtocolError("bad signature of a forwarded request")
+            raise ProtocolError("signature of a forwarded request is invalid")
         return decode_head(head), body
 
     def find_refusal(self, request):
-        """Return why the request is not served here, or `NOTHING`."""
+        """Return the `NotRun` that refuses the request, or `NOTHING`."""
         if self.drain.refusing:
             return NotRun(Reason.LEAVING)
         permitted = self.state.keeper.enforced.permitted(
@@ -192,8 +195,9 @@
 def forwarded_request(head, state):
     """Return the `Request` of a forwarded request.
 
-    It gets one attempt: the host that the caller asked counts attempts,
-    and two hosts that both retry would multiply them.
+    It has a single attempt: the host that received the request from the
+    caller counts the attempts, and if both hosts retried, the attempts
+    would multiply.
     """
     target = Target(TargetKind(head.kind), head.target)
     return Request(
--- a/src/hyssopspring/net/interceptors.py
+++ b/src/hyssopspring/net/interceptors.py
@@ -1,23 +1,24 @@
-"""What a request passes before its first attempt."""
+"""Interceptors that a request passes before its first attempt."""
 
 
 class Interceptors:
-    """Pass requests through all gates, in order.
+    """Chain of interceptors, which are called in order.
 
     Args:
-        interceptors: Each has a coroutine method ``intercept(request, run)``
-            that calls *run* or returns an outcome of its own.
+        interceptors: Objects with a coroutine method
+            ``intercept(request, run)`` that calls *run* or returns an
+            outcome of its own.
     """
 
     def __init__(self, *interceptors):
         self.interceptors = interceptors
 
     async def intercept(self, request, run):
-        """Run the request if all gates let it through.
+        """Run the request unless an interceptor refuses it.
 
         Args:
             request: The `Request`.
-            run: Coroutine function that carries it out.
+            run: Coroutine function that executes it.
         """
         for interceptor in reversed(self.interceptors):
             run = _wrap(interceptor, request, run)
@@ -25,5 +26,5 @@
 
 
 def _wrap(interceptor, request, run):
-    """Return a coroutine function that passes *gate* before *run*."""
+    """Return a coroutine function that calls *interceptor* with *run*."""
     return lambda: interceptor.intercept(request, run)
--- a/src/hyssopspring/net/openapi.py
+++ b/src/hyssopspring/net/openapi.py
@@ -1,17 +1,25 @@
-"""Description of the operators' interface, as OpenAPI."""
+"""OpenAPI description of the administration API."""
 
 
 def _operation(summary, *, writes=False, body=""):
-    """Return one operation."""
-    answers = {
+    """Return an operation object.
+
+    Args:
+        summary: Summary of the operation.
+        writes: Whether it may be accepted or rejected by validation.
+        body: Content type of the request body, or an empty string.
+    """
+    responses = {
         "200": {"description": "Done."},
-        "401": {"description": "No team has this token."},
-        "503": {"description": "The platform does not answer."},
+        "401": {"description": "The token belongs to no team."},
+        "503": {"description": "The platform does not respond."},
     }
     if writes:
-        answers["202"] = {"description": "Written, not judged yet."}
-        answers["409"] = {"description": "Refused; line and reason follow."}
-    operation = {"summary": summary, "responses": answers}
+        responses["202"] = {"description": "Written; the verdict is pending."}
+        responses["409"] = {
+            "description": "Rejected; the body gives line and reason."
+        }
+    operation = {"summary": summary, "responses": responses}
     if body:
         operation["requestBody"] = {
             "content": {body: {"schema": {"type": "string"}}}
@@ -28,7 +36,7 @@
 
 
 def _query(name):
-    """Return one optional query parameter."""
+    """Return an optional query parameter of type string."""
     return {"name": name, "in": "query", "schema": {"type": "string"}}
 
 
@@ -56,7 +64,7 @@
         "/v1/check/{name}": {
             "parameters": [_NAME],
             "post": _operation(
-                "Judge a file without writing it.",
+                "Validate a file without writing it.",
                 writes=True,
                 body="application/yaml",
             ),
@@ -67,17 +75,19 @@
                 _query("model"),
                 _query("service"),
             ],
-            "get": _operation("Show which file set which field."),
+            "get": _operation("Show which file sets each field."),
         },
         "/v1/status": {"get": _operation("Show the state of all hosts.")},
         "/v1/data-centres/{name}": {
             "parameters": [_NAME],
-            "delete": _operation("Take off a data centre that is gone."),
+            "delete": _operation(
+                "Remove a data centre that no longer exists."
+            ),
         },
         "/v1/timeline": {
             "parameters": [_query("request")],
-            "get": _operation("Show the events of all processes."),
+            "get": _operation("Show the event logs of all processes."),
         },
     },
 }
-"""The description, as plain mappings."""
+"""The OpenAPI document, as plain mappings."""
--- a/src/hyssopspring/net/serving.py
+++ b/src/hyssopspring/net/serving.py
@@ -1,4 +1,4 @@
-"""HTTP server helpers on `twisted.web`: limits, JSON, coroutines."""
+"""HTTP server helpers for `twisted.web`: limits, routing and JSON."""
 
 import msgspec
 from twisted.internet import defer
@@ -9,27 +9,30 @@
 from ..core.outcomes import Reason
 
 MAX_REQUEST_BYTES = 4 * 1024 * 1024
+"""Default limit of the size of a request body."""
+
 IDLE_TIMEOUT_SECONDS = 30.0
+"""Time without data after which a connection is closed."""
 
 
 class LimitedRequest(server.Request):
-    """A request whose body may not grow beyond the site's limit.
+    """A request whose body is bounded by the limit of its site.
 
-    Without the limit one caller's endless body fills the memory that all
-    other requests of the host need.
+    Without the limit, a single unbounded body exhausts the memory that
+    all other requests on the host need.
     """
 
     refused = False
 
     def gotLength(self, length):
-        """Refuse a body whose announced length is too great."""
+        """Refuse a body whose Content-Length exceeds the limit."""
         if length is not None and length > self.channel.site.max_request_bytes:
             self.refuse()
             return
         super().gotLength(length)
 
     def handleContentChunk(self, data):
-        """Refuse a body of unknown length once it is too long."""
+        """Refuse a body of unknown length once it exceeds the limit."""
         if self.refused:
             return
         if (
@@ -41,12 +44,12 @@
         super().handleContentChunk(data)
 
     def requestReceived(self, command, path, version):
-        """Serve the request unless it was refused on the way."""
+        """Process the request unless its body was refused."""
         if not self.refused:
             super().requestReceived(command, path, version)
 
     def refuse(self):
-        """Answer that the body is too long, and hang up."""
+        """Respond with status 413 and close the connection."""
         if self.refused:
             return
         self.refused = True
@@ -63,7 +66,13 @@
 
 
 class LimitedSite(server.Site):
-    """A site with limits on body size and on time without data."""
+    """A site that limits the body size and the idle time.
+
+    Args:
+        root: The root resource.
+        max_request_bytes: Largest body of a request.
+        reactor: The reactor.
+    """
 
     def __init__(
         self, root, *, max_request_bytes=MAX_REQUEST_BYTES, reactor=None
@@ -74,7 +83,7 @@
         self.too_large_body = msgspec.json.encode(
             {
                 "error": {
-                    "message": "the body is too long",
+                    "message": "the request body is too large",
                     "type": "not_run",
                     "code": Reason.BODY_TOO_LARGE,
                 }
@@ -83,15 +92,16 @@
         self.displayTracebacks = False
 
     def log(self, request):
-        """Write no access log; the time line holds what matters."""
+        """Write no access log; requests are recorded in the event log."""
 
 
 class CoroutineResource(resource.Resource):
-    """A leaf that answers by a coroutine.
+    """A leaf resource whose handler is a coroutine function.
 
     Args:
-        handle: Coroutine function that takes the request and answers it.
-        on_failure: Called with request and failure if the handler raised.
+        handle: Coroutine function that responds to a request.
+        on_failure: Called with the request and the failure if the handler
+            raised.
     """
 
     isLeaf = True
@@ -102,13 +112,16 @@
         self.on_failure = on_failure
 
     def render(self, request):
-        """Start the coroutine."""
+        """Start the handler for *request*."""
         deferred = defer.ensureDeferred(self.handle(request))
         deferred.addErrback(self.handle_failure, request)
         return server.NOT_DONE_YET
 
     def handle_failure(self, reason, request):
-        """Answer a request whose handler failed, if it still can be."""
+        """Respond with status 500 if no response has been started.
+
+        A response that has been started is aborted.
+        """
         self.on_failure(request, reason)
         if request.finished or request._disconnected:
             return
@@ -119,7 +132,7 @@
 
 
 class Router:
-    """Map method and path to handlers.
+    """Dispatch requests to handlers by method and path.
 
     Args:
         on_failure: Called with the failure of a handler that raised.
@@ -130,11 +143,18 @@
         self.routes = []
 
     def add(self, method, path, handler):
-        """Add a handler; a *path* that ends in ``/`` takes all below."""
+        """Add a handler.
+
+        Args:
+            method: HTTP method, or ``*`` for all methods.
+            path: Path to serve; one that ends in ``/`` also serves all
+                paths that start with it.
+            handler: Function or coroutine function of the request.
+        """
         self.routes.append((method.encode(), path.encode(), handler))
 
     def resource(self):
-        """Return the resource that serves all routes."""
+        """Return the resource that dispatches to all routes."""
         return CoroutineResource(
             self.dispatch, lambda request, reason: self.on_failure(reason)
         )
@@ -154,14 +174,18 @@
                 request,
                 405,
                 Reason.WRONG_METHOD,
-                "the method is not allowed",
+                "the path does not allow this method",
                 kind="not_run",
                 headers=[("hyssop-outcome", "not-run")],
             )
         return respond_error(request, 404, "not_found", "no such path")
 
     async def call(self, handler, request):
-        """Call one handler and turn its typed errors into answers."""
+        """Call a handler and respond to the errors that it raises.
+
+        A `ProtocolError` gives status 400. Any other `HyssopError` is
+        reported to *on_failure* and gives status 503.
+        """
         try:
             result = handler(request)
             if hasattr(result, "__await__"):
@@ -174,14 +198,14 @@
 
 
 def respond_json(request, status, value, headers=()):
-    """Answer with *value* as JSON."""
+    """Respond with *value* as JSON."""
     respond(request, status, msgspec.json.encode(value), headers=headers)
 
 
 def respond(
     request, status, body, *, content_type="application/json", headers=()
 ):
-    """Answer with *body*, unless the other side has gone."""
+    """Respond with *body*, unless the client has disconnected."""
     if request._disconnected or request.finished:
         return
     request.setResponseCode(status)
@@ -194,26 +218,26 @@
 
 
 def respond_error(request, status, code, message, *, kind="", headers=()):
-    """Answer with an error in the chat-completions convention."""
+    """Respond with an error object in the form of the completions API."""
     error = {"message": message, "type": kind or code, "code": code}
     respond_json(request, status, {"error": error}, headers)
 
 
 def read_json(request, schema=dict):
-    """Return the request's body as *schema*.
+    """Return the request body, decoded as *schema*.
 
     Raises:
-        ProtocolError: The body is no JSON, or not of this form.
+        ProtocolError: The body is not JSON, or does not match *schema*.
     """
     request.content.seek(0)
     try:
         return msgspec.json.decode(request.content.read(), type=schema)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ProtocolError(f"the body is not as expected: {error}") from None
+        raise ProtocolError(f"the request body is invalid: {error}") from None
 
 
 def header(request, name, default=""):
-    """Return a header as text."""
+    """Return a request header as text, or *default* if it is missing."""
     value = request.getHeader(name.encode())
     if value is None:
         return default
--- a/src/hyssopspring/net/sinks.py
+++ b/src/hyssopspring/net/sinks.py
@@ -1,4 +1,4 @@
-"""Writing one answer over HTTP, whole or in parts."""
+"""Writing one HTTP response, at once or in parts."""
 
 from ..core.sentinels import NOTHING
 
@@ -6,16 +6,16 @@
 
 
 class AnswerSink:
-    """Write one answer.
+    """Write the response to one request.
 
     Args:
-        request: The request of `twisted.web` that is answered.
-        headers: Names and values that each answer carries.
+        request: The `twisted.web` request.
+        headers: Names and values of headers that each response has.
 
     Attributes:
         started: Whether the head was sent.
-        finished: Whether the answer has ended, or was cut.
-        bytes: Bytes of the body so far.
+        finished: Whether the response was completed or aborted.
+        bytes: Bytes of the body that were written so far.
     """
 
     def __init__(self, request, headers=()):
@@ -28,23 +28,23 @@
 
     @property
     def disconnected(self):
-        """Whether the other side has closed the connection."""
+        """Whether the client has closed the connection."""
         return self.request._disconnected
 
     def start(self, status, headers, length=NOTHING):
-        """Send the head of an answer.
+        """Send the head of the response.
 
         Args:
             status: HTTP status.
             headers: Names and values, as bytes.
-            length: Bytes of the whole body, if they are known.
+            length: Length of the whole body in bytes, or `NOTHING`.
         """
         self.started = True
         if self.disconnected:
             return
         self.request.setResponseCode(status)
         sent = (*self.headers, *headers)
-        # The web server's own values must not stand beside these.
+        # Replace the values that twisted.web has set for these headers.
         for name, _ in sent:
             self.request.responseHeaders.removeHeader(name)
         for name, value in sent:
@@ -61,10 +61,10 @@
             self.request.write(data)
 
     def set_producer(self, producer):
-        """Let a slow reader pause *producer*.
+        """Pause *producer* while the client reads slowly.
 
-        Without it the answer to a reader that stopped reading would pile
-        up in memory until the host has none left.
+        Without backpressure, the response to a client that has stopped
+        reading would accumulate until the memory of the host is exhausted.
         """
         self.clear_producer()
         if not self.disconnected:
@@ -72,28 +72,29 @@
             self.request.registerProducer(producer, True)
 
     def clear_producer(self):
-        """Let go of the producer."""
+        """Unregister the producer."""
         if self.producer is not NOTHING and not self.disconnected:
             self.request.unregisterProducer()
         self.producer = NOTHING
 
     def finish(self):
-        """End a whole answer."""
+        """End a complete response."""
         self.clear_producer()
         self.finished = True
         if not self.disconnected:
             self.request.finish()
 
     def send_whole(self, status, headers, body):
-        """Send a whole answer."""
+        """Send a complete response."""
         self.start(status, headers, len(body))
         self.write(body)
         self.finish()
 
     def abort(self):
-        """Cut an answer that is not whole, so that it shows.
+        """Abort an incomplete response by closing the connection.
 
-        A proper end would pass a part off as the whole.
+        If it were ended properly, the client would take a part of the
+        response for the whole.
         """
         self.clear_producer()
         self.finished = True
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""What callers see when servers, links, callers or the platform fail."""
+"""Responses to callers when servers, links, callers or the platform fail."""
 
 import msgspec
 import pytest
@@ -29,7 +29,7 @@
 
 
 def list_runs(fleet, prefix=""):
-    """Return the identifiers that the engines of a region took."""
+    """Return the identifiers of the requests that the engines ran."""
     return [
         identifier
         for name, engine in fleet.engines.items()
@@ -39,17 +39,18 @@
 
 
 def outcome_of(headers):
-    """Return the outcome that an answer states."""
+    """Return the outcome that a response states."""
     return headers.getRawHeaders(b"hyssop-outcome", [b""])[0]
 
 
 @pytest_twisted.ensureDeferred
 @pytest.mark.parametrize("fault", ["garbage", "swap"])
 async def test_wrong_answer_never_reaches_the_caller(fleet, caller, fault):
-    """An answer that is no JSON, or another request's, is not passed on.
+    """A response that is not JSON, or another request's, is not passed on.
 
-    A user would read someone else's policy review: the engine mixes up
-    two answers, and the gateway passes on what came on the connection.
+    Guards against a user receiving the response to another user's
+    request: the engine swaps two responses, and the gateway passes on
+    whatever arrives on the connection.
     """
     set_faults(fleet, "dar", **{fault: True})
     status, _, body = await caller.complete("dar-0", max_tokens=2)
@@ -63,7 +64,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_wrong_answer_of_a_single_run_is_unknown(fleet, caller):
-    """A request that must not be repeated is not tried elsewhere."""
+    """A request that must not be repeated is not retried elsewhere."""
     set_faults(fleet, "dar", garbage=True)
     status, headers, _ = await caller.complete(
         "dar-0", headers={"hyssop_repeatable": "no"}
@@ -75,10 +76,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_cut_stream_is_resumed_without_loss_or_repetition(fleet, caller):
-    """A stream whose connection is cut goes on at the same engine.
+    """A stream whose connection is aborted is resumed at the same engine.
 
-    A user would see a sentence twice or a hole in it: the connection
-    breaks in the middle, and the stream starts anew or somewhere.
+    Guards against repeated or missing text: the connection is aborted
+    in the middle of a stream, which then restarts from the beginning or
+    at a wrong event.
     """
     set_faults(fleet, "dar", drop_after=3)
     status, _, body = await caller.complete("dar-0", max_tokens=8, stream=True)
@@ -92,10 +94,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_stream_without_its_end_mark_is_cut_visibly(fleet, caller):
-    """A part of an answer never ends like a whole one.
+    """A truncated response never ends like a complete one.
 
-    A user would take half a review for the whole: the engine ends the
-    stream early but properly, and the gateway ends its own properly too.
+    Guards against a user taking a part of a response for the whole: the
+    engine ends the stream early but properly, and the gateway ends its
+    own response properly too.
     """
     set_faults(fleet, "dar", truncate_after=2)
     for engine in fleet.engines.values():
@@ -107,7 +110,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_silent_engine_is_unknown_at_the_deadline(fleet, caller):
-    """A request that may have run is not called 'not run'."""
+    """A request that may have run is not reported as not run."""
     set_faults(fleet, "", hang=True)
     status, headers, _ = await caller.complete(
         "dar-0", headers={"hyssop_deadline_ms": "300"}
@@ -120,7 +123,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_refused_everywhere_is_not_run_and_says_when(fleet, caller):
-    """A given-up request is answered at once with when to come back."""
+    """A refused request gets an immediate response with Retry-After."""
     set_faults(fleet, "", refuse=True)
     status, headers, _ = await caller.complete("dar-0")
     assert_that(status, Equals(503))
@@ -131,10 +134,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_residency_holds_when_home_cannot_serve(fleet, caller):
-    """A request bound to its region is refused rather than sent away.
+    """A request restricted to its region is refused, not forwarded.
 
-    A user's data would leave the region whenever home is full: the
-    choice falls on the only region that has room.
+    Guards against a user's data leaving the region whenever the home
+    region is full, because the only region with capacity is chosen.
     """
     set_faults(fleet, "dar", refuse=True)
     status, headers, _ = await caller.complete(
@@ -149,11 +152,11 @@
 async def test_receiver_refuses_what_its_own_configuration_excludes(
     fleet, caller
 ):
-    """The receiving region checks residency by what it knows itself.
+    """The receiving region checks residency by its own configuration.
 
-    A user's data would be served abroad for as long as one host is
-    behind: the sender has not heard of the restriction, the receiver
-    has, and it trusts the sender.
+    Guards against a user's data being processed in another region while
+    one host is out of date: the sender has not received the restriction;
+    the receiver has, but relies on the sender's check.
     """
     sender = fleet.gateways["dar-0"]
     stale = sender.state.keeper.accepted
@@ -171,11 +174,12 @@
 
 @pytest_twisted.ensureDeferred
 async def test_retry_goes_by_the_configuration_of_its_own_time(fleet, caller):
-    """A retry does not use a right that went while the request ran.
+    """A retry does not use a permission revoked while the request ran.
 
-    A user's data would be served abroad: its request is in progress when
-    the restriction comes into force, its first attempt fails, and the
-    next one is chosen by the configuration of the start.
+    Guards against a user's data being processed in another region: a
+    restriction comes into force while the request is in progress, the
+    first attempt fails, and the next one is planned by the configuration
+    with which the request started.
     """
     set_faults(fleet, "dar", garbage=True)
     sender = fleet.gateways["dar-0"].state.keeper
@@ -201,7 +205,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_forged_forward_is_refused(fleet, caller):
-    """Nobody without the hosts' secret can forward a request."""
+    """A request cannot be forwarded without the hosts' shared secret."""
     address = fleet.gateways["dar-0"].settings.forward
     response = await caller.request(
         address,
@@ -216,10 +220,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_lost_answer_of_a_single_run_is_not_run_again(fleet, caller):
-    """A call that must run once is unknown when its answer is lost.
+    """A call that must run once is unknown when its response is lost.
 
-    A supplier would be paid twice: the service takes the approval and
-    loses the connection, and the gateway sends it to the next server.
+    Guards against running a payment twice: the service runs the call and
+    loses the connection, and the gateway sends the call to the next
+    server.
     """
     for service in fleet.services.values():
         service.drop = True
@@ -234,10 +239,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_key_runs_once_over_all_hosts(fleet, caller):
-    """Ten callers with one key at two hosts make one run.
+    """Ten callers with one idempotency key at two hosts cause one run.
 
-    A supplier would be paid twice: the portal hangs, its callers try
-    again at another host, and that host has never heard of the key.
+    Guards against running a payment twice: the first request hangs, its
+    callers retry at another host, and that host has no record of the
+    key.
     """
     headers = {"hyssop_repeatable": "no", "idempotency_key": "pay-1"}
     answers = await defer.gatherResults(
@@ -266,7 +272,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_outage_refuses_keys_at_once_and_serves_the_rest(fleet, caller):
-    """While the platform is down only keyed single runs are refused."""
+    """While the platform is down, only keyed calls that must run once fail.
+
+    They are refused at once with Retry-After; other requests are served.
+    """
     fleet.platform.set_fault("down", True)
     headers = {"hyssop_repeatable": "no", "idempotency_key": "pay-2"}
     for _ in range(2):
@@ -285,10 +294,11 @@
 
 @pytest_twisted.ensureDeferred
 async def test_leaving_server_gets_nothing_new(fleet, caller):
-    """A server that says it leaves is passed over within three seconds.
+    """A draining server gets no new requests after three seconds.
 
-    A user would see requests cut when the server goes: the host list
-    still shows it as live, and some hosts go on sending.
+    Guards against requests that are aborted when the server stops: the
+    host list still shows it as live, and some hosts continue to send
+    requests to it.
     """
     set_faults(fleet, "dar", leaving=True)
     gateway = fleet.gateways["dar-0"]
@@ -302,10 +312,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_planned_stop_cuts_nothing(fleet, caller):
-    """Requests that run when a stop begins end whole.
+    """Requests in progress when a shutdown begins are completed.
 
-    A user would see an answer break off at each release: the host closes
-    its connections as soon as it is told to stop.
+    Guards against responses that are aborted at each release because the
+    host closes its connections as soon as it is asked to stop.
     """
     host = "dar-0"
     working = [
@@ -334,7 +344,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_abandoned_request_is_cancelled_at_the_engine(fleet, caller):
-    """An engine stops work for a caller that has hung up."""
+    """An engine stops working for a caller that has disconnected."""
     address = fleet.gateways["dar-0"].settings.listen
     body = msgspec.json.encode(
         {"model": "quick-draft", "prompt": "x", "max_tokens": 5000}
@@ -349,10 +359,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_isolated_region_serves_its_own(fleet, caller):
-    """A region cut from the platform and all others serves its callers.
+    """A region isolated from the platform and all others serves its callers.
 
-    A broker in Dar would be refused while Dar is cut off: each request
-    waits for a platform or a region that cannot be reached.
+    Guards against refusing the callers of an isolated region because
+    each request waits for a platform or a region that is unreachable.
     """
     fleet.platform.set_fault("down", True)
     other = fleet.gateways["arusha-0"]
@@ -369,19 +379,19 @@
 
 CRASHING_BODY = b"call that no server survives"
 MAX_CRASHES = 6
-"""Servers that may end under one call: three, and three sends more that are
-allowed once hosts know."""
+"""Servers that one call may crash: three until it is detected, and three more
+by attempts that are permitted after the hosts have been notified."""
 
 
 @pytest.mark.parametrize("shape", [Shape(services=6)])
 @pytest_twisted.ensureDeferred
 async def test_a_call_that_ends_servers_is_sent_to_few(fleet, caller):
-    """All servers of a service end, one after the other.
+    """A call that crashes servers does not crash all servers of a service.
 
-    A server ends as soon as it begins to run one call. The gateway sends
-    the call to others, its caller comes back to other gateways, and each
-    of them began anew, as none remembered under what servers had ended: 12
-    servers of 12 ended.
+    A server crashes as soon as it begins to run the call. The gateway
+    retries the call at other servers, and its caller retries at other
+    gateways. Without a shared record of which calls crash servers, each
+    gateway starts over: 12 of 12 servers crashed.
     """
     for service in fleet.services.values():
         service.ended_by = CRASHING_BODY
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -1,4 +1,4 @@
-"""Broken and hostile input harms nobody but its sender."""
+"""Malformed and hostile input affects only its sender."""
 
 import msgspec
 import pytest
@@ -21,18 +21,18 @@
 
 
 class RawConnection(Protocol):
-    """Collect what comes back on a plain connection."""
+    """Collect the data received on a plain TCP connection."""
 
     def __init__(self):
         self.data = b""
         self.closed = defer.Deferred()
 
     def dataReceived(self, data):
-        """Keep what came."""
+        """Buffer *data*."""
         self.data += data
 
     def connectionLost(self, reason):
-        """Tell that it is over."""
+        """Fire *closed*."""
         self.closed.callback(None)
 
 
@@ -51,10 +51,10 @@
 
 @pytest_twisted.ensureDeferred
 async def test_endless_chunked_body_is_refused_and_cut(fleet, caller):
-    """A body without a length is stopped at the limit.
+    """A body without a length is refused at the limit.
 
-    All users of a host would see it die: one caller sends a body that
-    never ends, and the host keeps all of it in memory.
+    Guards against memory exhaustion of a host: one caller sends a body
+    that never ends, and the host keeps all of it in memory.
     """
     raw = await connect(fleet.gateways["dar-0"].settings.listen)
     raw.transport.write(HEAD + b"Transfer-Encoding: chunked\r\n\r\n")
@@ -69,15 +69,15 @@
 
 
 @pytest_twisted.ensureDeferred
-async def test_truncated_and_slow_bodies_hold_nobody_up(fleet, caller):
-    """Callers that send half a body, or nothing, cost only themselves."""
+async def test_truncated_and_slow_bodies_delay_no_other_caller(fleet, caller):
+    """Callers that send an incomplete body do not delay other callers."""
     address = fleet.gateways["dar-0"].settings.listen
     slow = await connect(address)
     slow.transport.write(HEAD + b"Content-Length: 100\r\n\r\n{")
-    cut = await connect(address)
-    cut.transport.write(HEAD + b"Content-Length: 100\r\n\r\n{")
-    cut.transport.loseConnection()
-    await cut.closed
+    aborted = await connect(address)
+    aborted.transport.write(HEAD + b"Content-Length: 100\r\n\r\n{")
+    aborted.transport.loseConnection()
+    await aborted.closed
     status, _, _ = await caller.complete("dar-0")
     assert_that(status, Equals(200))
     assert_that(len(fleet.engines["dar-engine-0"].ran), Equals(1))
@@ -87,7 +87,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_broken_heads_are_answered_or_cut(fleet, caller):
-    """Lines that are no HTTP, and headers without end, are cut off."""
+    """Connections with malformed or oversized heads are closed."""
     address = fleet.gateways["dar-0"].settings.listen
     for sent in (
         b"no http at all\r\n\r\n",
@@ -103,7 +103,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_body_of_other_types_is_a_bad_request(caller):
-    """JSON that is not of the expected form is told apart."""
+    """JSON that does not match the schema is a bad request."""
     for body in (
         {"model": 5},
         {"model": "quick-draft", "stream": "yes"},
@@ -120,7 +120,7 @@
 
 @pytest_twisted.ensureDeferred
 async def test_garbage_on_the_control_port_is_dropped(fleet, caller):
-    """Frames that are no message are noted and dropped."""
+    """Frames that are not messages are logged and dropped."""
     gateway = fleet.gateways["dar-0"]
     context = zmq.Context(io_threads=1)
     socket = context.socket(zmq.PUB)
