--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -32,10 +32,10 @@
 from hyssopspring.net.membership import centre_summary, target_loads
 from hyssopspring.net.messages import (
     ENCODER,
+    DataCentreSummaryMessage,
     Heartbeat,
     ServerLoad,
     Signer,
-    Summary,
     decode_message,
 )
 from hyssopspring_fakes.fleet import (
@@ -183,7 +183,7 @@
             )
             for number in range(models)
         )
-        message = Summary(
+        message = DataCentreSummaryMessage(
             host="region-gateway-0",
             region="region",
             data_centre="region-a",
--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -10,7 +10,7 @@
 from .logs import start_logging
 from .net.administration import AdminApi
 from .net.clients import make_agent
-from .net.control import PageReader
+from .net.control import ControlClient
 from .net.messages import Signer
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
@@ -19,7 +19,7 @@
 from .stores.hosts import HostListClient
 from .stores.keyvalues import find_key_value
 
-LONGEST_FILE = 256 * 1024
+MAX_FILE_BYTES = 256 * 1024
 
 
 class Admin:
@@ -40,11 +40,13 @@
         scheme, _, address = settings.platform.partition("+")
         self.store = find_key_value(scheme)(address, self.agent, reactor)
         hosts = HostListClient(settings.host_list, self.agent, reactor)
-        pages = PageReader(self.agent, reactor, Signer(settings.peer_secret))
+        control_client = ControlClient(
+            self.agent, reactor, Signer(settings.peer_secret)
+        )
         self.acceptor = Acceptor(
             self.store,
             hosts,
-            pages,
+            control_client,
             reactor,
             self.timeline,
             make_rng(seed),
@@ -52,7 +54,7 @@
         self.api = AdminApi(
             self.acceptor,
             hosts,
-            pages,
+            control_client,
             reactor,
             self.timeline,
             settings.tokens,
@@ -63,10 +65,10 @@
 
     def start(self):
         """Listen, and judge the folder."""
-        router = Router(self.note_failure)
+        router = Router(self.report_failure)
         self.api.add_routes(router)
         site = LimitedSite(
-            router.resource(), longest=LONGEST_FILE, reactor=self.reactor
+            router.resource(), longest=MAX_FILE_BYTES, reactor=self.reactor
         )
         host, port = split_address(self.settings.listen)
         self.port = self.reactor.listenTCP(port, site, interface=host)
@@ -74,7 +76,7 @@
         self.loop.start(EVALUATE_EVERY)
         self.timeline.note(EventKind.STARTED)
 
-    def note_failure(self, reason):
+    def report_failure(self, reason):
         """Write the trace of a handler that raised."""
         log_failure(self.settings.host, reason)
 
--- a/src/hyssopspring/config/accepting.py
+++ b/src/hyssopspring/config/accepting.py
@@ -51,16 +51,16 @@
     Args:
         store: The key-value client.
         hosts: The `HostListClient`.
-        pages: The `PageReader`.
+        control_client: The `ControlClient`.
         clock: The runtime's clock.
         timeline: The `Timeline`.
         rng: Random number generator.
     """
 
-    def __init__(self, store, hosts, pages, clock, timeline, rng):
+    def __init__(self, store, hosts, control_client, clock, timeline, rng):
         self.store = store
         self.hosts = hosts
-        self.pages = pages
+        self.control_client = control_client
         self.clock = clock
         self.timeline = timeline
         self.rng = rng
@@ -235,7 +235,7 @@
             if row.region in accepted.proposal.affected
         ]
         statuses = await gather(
-            self.pages.status(row.forward) for row in affected
+            self.control_client.status(row.forward) for row in affected
         )
         unheard = [
             row.name
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -20,15 +20,15 @@
 from .net.callers import CallerApi
 from .net.claiming import Claims
 from .net.clients import make_agent
-from .net.control import ControlPages, HostStatus, PageReader
+from .net.control import ControlApi, ControlClient, HostStatus
 from .net.crashes import CRASH_TOPIC, CallCrashes
 from .net.dispatching import Dispatcher, HostState
 from .net.draining import Drain
 from .net.forwarding import ForwardedApi
 from .net.gates import Gates
-from .net.limiting import Limits
+from .net.limiting import WorkspaceLimiter
 from .net.membership import Membership
-from .net.messages import CallSuspects, Signer
+from .net.messages import CrashSuspectsMessage, Signer
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
@@ -37,9 +37,9 @@
 from .stores.hosts import HostListClient
 from .stores.keyvalues import find_key_value
 
-STALL_EVERY = 0.1
-STALL_REPORT = 0.25
-HOSTS_TIME_TO_LIVE = 5
+STALL_CHECK_INTERVAL_SECONDS = 0.1
+STALL_THRESHOLD_SECONDS = 0.25
+HOSTS_TTL_SECONDS = 5
 
 __all__ = ["Gateway", "main"]
 
@@ -62,8 +62,8 @@
         self.timeline = make_timeline(settings, wall)
         self.drain = Drain()
         self.signer = Signer(settings.peer_secret)
-        self.pooled = make_agent(reactor)
-        self.fresh = make_agent(reactor, persistent=False)
+        self.pooled_agent = make_agent(reactor)
+        self.unpooled_agent = make_agent(reactor, persistent=False)
         self.state = self.make_state(seed)
         self.peers = PeerTable(settings.host, settings.data_centre)
         self.wire_platform()
@@ -71,10 +71,10 @@
         self.wire_membership()
         self.ports = []
         self.loops = []
-        self.stall = 0.0
+        self.longest_stall = 0.0
         self.trust_level = Level.FULL
         self.publish_due = 0.0
-        self.stall_expected = NOTHING
+        self.next_stall_check = NOTHING
 
     def make_state(self, seed):
         """Return the `HostState`."""
@@ -104,37 +104,41 @@
         """Make the clients of the platform."""
         scheme, _, address = self.settings.platform.partition("+")
         client = find_key_value(scheme)
-        self.store = client(address, self.pooled, self.reactor)
+        self.store = client(address, self.pooled_agent, self.reactor)
         self.hosts = HostListClient(
-            self.settings.host_list, self.pooled, self.reactor
+            self.settings.host_list, self.pooled_agent, self.reactor
         )
-        self.pages = PageReader(self.pooled, self.reactor, self.signer)
-        self.config = ConfigFollower(
-            self.state, self.peers, self.store, self.pages
+        self.control_client = ControlClient(
+            self.pooled_agent, self.reactor, self.signer
+        )
+        self.config_follower = ConfigFollower(
+            self.state, self.peers, self.store, self.control_client
         )
         seeds = [seed_entry(peer) for peer in self.settings.peers]
-        self.follower = HostFollower(self.state, self.peers, self.hosts, seeds)
+        self.host_follower = HostFollower(
+            self.state, self.peers, self.hosts, seeds
+        )
 
     def wire_serving(self):
         """Make what serves callers and other hosts."""
         client = BackendClient(
-            self.pooled, self.fresh, self.reactor, self.timeline
+            self.pooled_agent, self.unpooled_agent, self.reactor, self.timeline
         )
         self.dispatcher = Dispatcher(self.state, client, self.signer)
         self.claims = Claims(
             self.state,
             self.peers,
             self.store,
-            self.pooled,
+            self.pooled_agent,
             self.signer,
             self.wall,
         )
-        self.limits = Limits(
+        self.limits = WorkspaceLimiter(
             self.state,
             self.peers,
             self.store,
             self.wall,
-            failed=self.note_failure,
+            on_failure=self.report_failure,
         )
         self.gates = Gates(self.limits, self.claims)
         self.callers = CallerApi(
@@ -147,7 +151,7 @@
         self.forwarded = ForwardedApi(
             self.state, self.dispatcher, self.signer, self.drain
         )
-        self.control = ControlPages(
+        self.control = ControlApi(
             self.signer, self.state.keeper, self.timeline, self.status
         )
 
@@ -157,33 +161,33 @@
             self.reactor,
             self.settings.control,
             self.settings.peer_secret,
-            received=self.take_message,
-            refused=self.note_refused,
-            failed=self.note_failure,
+            on_message=self.handle_message,
+            on_rejected=self.log_rejected_message,
+            on_failure=self.report_failure,
         )
         self.membership = Membership(
             self.state,
             self.peers,
             self.bus,
-            self.pooled,
+            self.pooled_agent,
             self.drain,
             incarnation=self.incarnation,
             forward_address=self.settings.forward,
-            newer=self.config.newer,
+            on_newer_generation=self.config_follower.newer,
         )
         self.state.keeper.applied = lambda _: self.membership.announce()
         self.state.trust.neighbours = lambda now: self.peers.neighbours_agree(
             now, self.state.keeper.generation
         )
 
-    def take_message(self, message):
+    def handle_message(self, message):
         """Hand a message of another host over."""
-        if isinstance(message, CallSuspects):
+        if isinstance(message, CrashSuspectsMessage):
             self.state.crashes.take(message)
         else:
-            self.membership.hear(message)
+            self.membership.handle_message(message)
 
-    def note_refused(self, why):
+    def log_rejected_message(self, why):
         """Put a dropped message on the time line."""
         self.timeline.note(EventKind.PEER_REFUSED, why=why)
 
@@ -197,12 +201,12 @@
         self.bus.subscribe(CRASH_TOPIC)
         self.membership.start()
         self.repeat(HEARTBEAT_EVERY, self.tick)
-        self.repeat(STALL_EVERY, self.measure_stall)
+        self.repeat(STALL_CHECK_INTERVAL_SECONDS, self.measure_stall)
         self.timeline.note(EventKind.STARTED, incarnation=self.incarnation)
 
     def listen(self, address, *apis):
         """Serve *apis* at *address*."""
-        router = Router(self.note_failure)
+        router = Router(self.report_failure)
         for api in apis:
             api.add_routes(router)
         site = LimitedSite(router.resource(), reactor=self.reactor)
@@ -211,18 +215,18 @@
             self.reactor.listenTCP(port, site, interface=host, backlog=512)
         )
 
-    def note_failure(self, reason):
+    def report_failure(self, reason):
         """Write the trace of a handler that raised."""
         log_failure(self.settings.host, reason)
 
     def repeat(self, interval, work):
         """Call *work* every *interval* seconds, now first."""
-        loop = task.LoopingCall(self.guarded, work)
+        loop = task.LoopingCall(self.call_safely, work)
         loop.clock = self.reactor
-        loop.start(interval).addErrback(self.note_failure)
+        loop.start(interval).addErrback(self.report_failure)
         self.loops.append(loop)
 
-    def guarded(self, work):
+    def call_safely(self, work):
         """Call *work*; a failure must not end the periodic work.
 
         A loop that stops at its first failure leaves a host that serves
@@ -231,20 +235,20 @@
         try:
             work()
         except Exception:  # noqa: BLE001 - all are written to the log
-            self.note_failure(Failure())
+            self.report_failure(Failure())
 
     def tick(self):
         """Do the periodic work of a heartbeat interval."""
-        self.follower.tick()
-        self.config.tick()
+        self.host_follower.tick()
+        self.config_follower.tick()
         self.membership.tick()
         self.state.crashes.tick()
         self.claims.tick()
         self.limits.tick()
-        self.note_trust()
+        self.log_trust_change()
         self.publish()
 
-    def note_trust(self):
+    def log_trust_change(self):
         """Put a change of the trust in the configuration on record."""
         level = self.state.trust.level(self.reactor.seconds())
         if level is self.trust_level:
@@ -262,7 +266,7 @@
         now = self.reactor.seconds()
         if now < self.publish_due:
             return
-        self.publish_due = now + HOSTS_TIME_TO_LIVE
+        self.publish_due = now + HOSTS_TTL_SECONDS
         entry = {
             "host": self.settings.host,
             "region": self.settings.region,
@@ -278,14 +282,14 @@
         """Measure how late the loop calls back."""
         now = self.reactor.seconds()
         self.state.trust.wake(now)
-        if self.stall_expected is not NOTHING:
-            late = now - self.stall_expected
-            self.stall = max(late, self.stall * 0.999)
-            if late > STALL_REPORT:
+        if self.next_stall_check is not NOTHING:
+            delay = now - self.next_stall_check
+            self.longest_stall = max(delay, self.longest_stall * 0.999)
+            if delay > STALL_THRESHOLD_SECONDS:
                 self.timeline.note(
-                    EventKind.LOOP_STALL, seconds=round(late, 3)
+                    EventKind.LOOP_STALL, seconds=round(delay, 3)
                 )
-        self.stall_expected = now + STALL_EVERY
+        self.next_stall_check = now + STALL_CHECK_INTERVAL_SECONDS
 
     def entry_hosts(self):
         """Return the entry hosts that callers should use, best first."""
@@ -304,15 +308,15 @@
                     "address": self.settings.listen,
                 }
             )
-        here = (self.settings.data_centre, self.settings.region)
+        own_location = (self.settings.data_centre, self.settings.region)
         rows.sort(
             key=lambda row: (
-                row["data_centre"] != here[0],
-                row["region"] != here[1],
+                row["data_centre"] != own_location[0],
+                row["region"] != own_location[1],
                 row["host"],
             )
         )
-        return {"hosts": rows, "ttl_s": HOSTS_TIME_TO_LIVE}
+        return {"hosts": rows, "ttl_s": HOSTS_TTL_SECONDS}
 
     def host_row(self, entry):
         """Return what callers read of one host."""
@@ -342,7 +346,7 @@
                 name: round(now - summary.at, 3)
                 for name, summary in self.state.centres.summaries.items()
             },
-            stall_ms=round(self.stall * 1000, 1),
+            stall_ms=round(self.longest_stall * 1000, 1),
             trust=self.state.trust.level(now).value,
         )
 
@@ -373,12 +377,12 @@
         for loop in self.loops:
             if loop.running:
                 loop.stop()
-        self.config.stop()
+        self.config_follower.stop()
         for port in self.ports:
             await port.stopListening()
         self.bus.stop()
-        await self.pooled.pool.closeCachedConnections()
-        await self.fresh.pool.closeCachedConnections()
+        await self.pooled_agent.pool.closeCachedConnections()
+        await self.unpooled_agent.pool.closeCachedConnections()
 
 
 def seed_entry(peer):
--- a/src/hyssopspring/net/administration.py
+++ b/src/hyssopspring/net/administration.py
@@ -17,12 +17,12 @@
 from .openapi import OPENAPI
 from .serving import header, respond_error, respond_json
 
-FILES = "/v1/files/"
-FILE_NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,99}\.ya?ml$")
-VERDICT_WITHIN = 8.0
-IN_FORCE_WITHIN = 4.0
-POLL = 0.05
-WRITE_TRIES = 5
+FILES_PATH = "/v1/files/"
+FILE_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9._-]{0,99}\.ya?ml$")
+VERDICT_TIMEOUT_SECONDS = 8.0
+IN_FORCE_TIMEOUT_SECONDS = 4.0
+POLL_INTERVAL_SECONDS = 0.05
+MAX_WRITE_ATTEMPTS = 5
 
 
 class FileReport(msgspec.Struct, frozen=True, kw_only=True):
@@ -55,17 +55,19 @@
     Args:
         acceptor: The `Acceptor`.
         hosts: The `HostListClient`.
-        pages: The `PageReader`.
+        control_client: The `ControlClient`.
         clock: The runtime's clock.
         timeline: The `Timeline` of this process.
         tokens: Bearer token by team.
     """
 
-    def __init__(self, acceptor, hosts, pages, clock, timeline, tokens):
+    def __init__(
+        self, acceptor, hosts, control_client, clock, timeline, tokens
+    ):
         self.acceptor = acceptor
         self.store = acceptor.store
         self.hosts = hosts
-        self.pages = pages
+        self.control_client = control_client
         self.clock = clock
         self.timeline = timeline
         self.tokens = tokens
@@ -76,21 +78,21 @@
         router.add("GET", "/healthz", self.health)
         for method, path, handler in (
             ("GET", "/v1/files", self.list_files),
-            ("GET", FILES, self.show_file),
-            ("PUT", FILES, self.put_file),
-            ("DELETE", FILES, self.delete_file),
+            ("GET", FILES_PATH, self.show_file),
+            ("PUT", FILES_PATH, self.put_file),
+            ("DELETE", FILES_PATH, self.delete_file),
             ("POST", "/v1/check/", self.check_file),
             ("GET", "/v1/explain", self.explain),
             ("GET", "/v1/status", self.show_status),
             ("DELETE", "/v1/data-centres/", self.forget_data_centre),
             ("GET", "/v1/timeline", self.show_timeline),
         ):
-            router.add(method, path, self.guard(handler))
+            router.add(method, path, self.require_token(handler))
 
-    def guard(self, handler):
+    def require_token(self, handler):
         """Let only operators with a token through to *handler*."""
 
-        async def guarded(request):
+        async def authenticated(request):
             if not self.find_team(request):
                 respond_error(
                     request, 401, "unknown_token", "no team has this token"
@@ -107,14 +109,14 @@
                     headers=[("retry-after", "2")],
                 )
 
-        return guarded
+        return authenticated
 
     def find_team(self, request):
         """Return the team of the request's token, or an empty string."""
         scheme, _, token = header(request, "authorization").partition(" ")
         found = ""
-        for team, known in self.tokens.items():
-            if hmac.compare_digest(known.encode(), token.encode()):
+        for team, expected_token in self.tokens.items():
+            if hmac.compare_digest(expected_token.encode(), token.encode()):
                 found = team
         return found if scheme.lower() == "bearer" else ""
 
@@ -128,15 +130,15 @@
 
     async def list_files(self, request):
         """Answer with the state of all files."""
-        held = await self.acceptor.read()
+        stored = await self.acceptor.read()
         rows = [
             {"file": name, **state_row(state)}
-            for name, state in sorted(held.accepted.files.items())
+            for name, state in sorted(stored.accepted.files.items())
         ]
         respond_json(
             request,
             200,
-            {"generation": held.accepted.generation, "files": rows},
+            {"generation": stored.accepted.generation, "files": rows},
         )
 
     async def show_file(self, request):
@@ -146,8 +148,8 @@
         if entry is NOTHING:
             respond_error(request, 404, "not_found", f"no file {name!r}")
             return
-        held = await self.acceptor.read()
-        state = held.accepted.files.get(name)
+        stored = await self.acceptor.read()
+        state = stored.accepted.files.get(name)
         row = state_row(state) if state else {"verdict": Verdict.PENDING}
         respond_json(
             request,
@@ -158,7 +160,7 @@
     async def put_file(self, request):
         """Write a file and answer with its verdict."""
         name = file_name(request)
-        if not FILE_NAME.match(name):
+        if not FILE_NAME_PATTERN.match(name):
             respond_error(
                 request,
                 400,
@@ -176,7 +178,7 @@
 
     async def write(self, request, name, content):
         """Write or remove a file, and wait until it is judged."""
-        began = self.clock.seconds()
+        started_at = self.clock.seconds()
         revision = await self.store_file(name, content)
         if revision is NOTHING:
             respond_error(request, 404, "not_found", f"no file {name!r}")
@@ -184,7 +186,7 @@
         self.acceptor.changed()
         report = await self.wait_verdict(name, revision)
         if report.verdict == Verdict.ACCEPTED:
-            report = await self.wait_in_force(report, began)
+            report = await self.wait_in_force(report, started_at)
         status = 200 if report.verdict == Verdict.ACCEPTED else 409
         if report.verdict == Verdict.PENDING:
             status = 202
@@ -201,15 +203,15 @@
             KeyValueError: The platform did not answer.
         """
         key = FOLDER_PREFIX + name
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             entry = await self.store.get(key)
-            known = entry.revision if entry is not NOTHING else 0
-            if content is None and not known:
+            current_revision = entry.revision if entry is not NOTHING else 0
+            if content is None and not current_revision:
                 return NOTHING
             if content is None:
-                result = await self.store.remove(key, known)
+                result = await self.store.remove(key, current_revision)
             else:
-                result = await self.store.swap(key, content, known)
+                result = await self.store.swap(key, content, current_revision)
             if isinstance(result, Applied):
                 return result.revision
             if isinstance(result, WriteUnknown):
@@ -220,17 +222,17 @@
 
     async def wait_verdict(self, name, revision):
         """Return the `FileReport` once the write is judged."""
-        give_up = self.clock.seconds() + VERDICT_WITHIN
-        while self.clock.seconds() < give_up:
+        deadline = self.clock.seconds() + VERDICT_TIMEOUT_SECONDS
+        while self.clock.seconds() < deadline:
             try:
-                held = await self.acceptor.read()
+                stored = await self.acceptor.read()
             except KeyValueError:
-                await task.deferLater(self.clock, POLL)
+                await task.deferLater(self.clock, POLL_INTERVAL_SECONDS)
                 continue
-            report = find_report(held.accepted, name, revision)
+            report = find_report(stored.accepted, name, revision)
             if report is not NOTHING:
                 return report
-            await task.deferLater(self.clock, POLL)
+            await task.deferLater(self.clock, POLL_INTERVAL_SECONDS)
         return FileReport(
             file=name,
             verdict=Verdict.PENDING,
@@ -238,31 +240,31 @@
             reason="not judged yet; ask for the file's state later",
         )
 
-    async def wait_in_force(self, report, began):
+    async def wait_in_force(self, report, started_at):
         """Return *report* with where it is in force."""
-        give_up = began + IN_FORCE_WITHIN
+        deadline = started_at + IN_FORCE_TIMEOUT_SECONDS
         while True:
             statuses = await self.read_statuses()
-            behind = [
+            lagging = [
                 name
                 for name, status in statuses.items()
                 if status is NOTHING or status.generation < report.generation
             ]
             now = self.clock.seconds()
-            if not behind or now >= give_up:
+            if not lagging or now >= deadline:
                 return msgspec.structs.replace(
                     report,
-                    in_force=sorted(set(statuses) - set(behind)),
-                    not_in_force=sorted(behind),
-                    seconds=round(now - began, 3),
+                    in_force=sorted(set(statuses) - set(lagging)),
+                    not_in_force=sorted(lagging),
+                    seconds=round(now - started_at, 3),
                 )
-            await task.deferLater(self.clock, POLL)
+            await task.deferLater(self.clock, POLL_INTERVAL_SECONDS)
 
     async def read_statuses(self):
         """Return the `HostStatus` of each gateway by name."""
         listed = await self.hosts.read()
         found = await gather(
-            self.pages.status(row.forward) for row in listed.gateways
+            self.control_client.status(row.forward) for row in listed.gateways
         )
         names = [row.name for row in listed.gateways]
         return dict(zip(names, found, strict=True))
@@ -272,7 +274,7 @@
         name = file_name(request)
         request.content.seek(0)
         text = request.content.read().decode("utf-8", "replace")
-        held = await self.acceptor.read()
+        stored = await self.acceptor.read()
         listing = await self.store.list(FOLDER_PREFIX)
         folder = {
             entry.key[len(FOLDER_PREFIX) :]: RawFile(
@@ -282,8 +284,8 @@
         }
         revision = listing.revision + 1
         folder[name] = RawFile(text, revision)
-        judged = Judge(held.accepted).judge(folder, revision)
-        state = judged.verdicts.get(name)
+        evaluated = Judge(stored.accepted).judge(folder, revision)
+        state = evaluated.verdicts.get(name)
         if state is None:
             respond_error(request, 409, "busy", "a change is being judged")
             return
@@ -292,28 +294,28 @@
 
     async def explain(self, request):
         """Answer which file set which field, and which rule won."""
-        wanted = {
+        selected = {
             (kind + "s", request.args[kind.encode()][0].decode())
             for kind in ("workspace", "model", "service")
             if kind.encode() in request.args
         }
-        held = await self.acceptor.read()
+        stored = await self.acceptor.read()
         merged = merge(
             {
                 name: parse_file(state.content)
-                for name, state in held.accepted.files.items()
+                for name, state in stored.accepted.files.items()
                 if state.content is not None
             }
         )
         rows = [
             merged.explain(path)
             for path in sorted(merged.leaves)
-            if path[:2] in wanted and merged.leaves[path] is not NOTHING
+            if path[:2] in selected and merged.leaves[path] is not NOTHING
         ]
         respond_json(
             request,
             200,
-            {"generation": held.accepted.generation, "fields": rows},
+            {"generation": stored.accepted.generation, "fields": rows},
         )
 
     async def show_status(self, request):
@@ -333,12 +335,13 @@
 
     async def show_timeline(self, request):
         """Answer with the events of all processes in one order."""
-        asked = request.args.get(b"request", [b""])[0].decode()
+        request_id = request.args.get(b"request", [b""])[0].decode()
         listed = await self.hosts.read()
         found = await gather(
-            self.pages.events(row.forward, asked) for row in listed.gateways
+            self.control_client.events(row.forward, request_id)
+            for row in listed.gateways
         )
-        events = list(self.timeline.select(request=asked))
+        events = list(self.timeline.select(request=request_id))
         silent = []
         for row, answer in zip(listed.gateways, found, strict=True):
             if answer is NOTHING:
@@ -378,16 +381,16 @@
         revision: Revision of the write.
     """
     state = accepted.files.get(name)
-    judged = accepted.folder_revision >= revision
+    is_evaluated = accepted.folder_revision >= revision
     if state is None:
-        if not judged:
+        if not is_evaluated:
             return NOTHING
         return FileReport(
             file=name,
             verdict=Verdict.ACCEPTED,
             generation=accepted.generation,
         )
-    if state.revision < revision and not judged:
+    if state.revision < revision and not is_evaluated:
         return NOTHING
     if state.revision > revision:
         return FileReport(
--- a/src/hyssopspring/net/bus.py
+++ b/src/hyssopspring/net/bus.py
@@ -9,23 +9,23 @@
 from ..core.sentinels import NOTHING
 from .messages import ENCODER, Signer, decode_message
 
-QUEUE = 1000
-DRAIN_AT_ONCE = 200
+MAX_QUEUED_MESSAGES = 1000
+MAX_MESSAGES_PER_READ = 200
 SUMMARY_TOPIC = b"s"
 
 
-def beat_topic(data_centre):
+def heartbeat_topic(data_centre):
     """Return the topic of heartbeats within *data_centre*."""
     return b"b:" + data_centre.encode()
 
 
 @implementer(IReadDescriptor)
-class _Descriptor:
+class _SocketDescriptor:
     """Let the reactor watch the descriptor of a ZeroMQ socket."""
 
-    def __init__(self, socket, readable):
+    def __init__(self, socket, on_readable):
         self.socket = socket
-        self.readable = readable
+        self.on_readable = on_readable
 
     def fileno(self):
         """Return the descriptor."""
@@ -33,7 +33,7 @@
 
     def doRead(self):
         """Read what there is."""
-        self.readable()
+        self.on_readable()
 
     def connectionLost(self, reason):
         """Do nothing; the bus closes its own sockets."""
@@ -59,19 +59,21 @@
         failed: Called with the failure of a handler that raised.
     """
 
-    def __init__(self, reactor, address, secret, *, received, refused, failed):
+    def __init__(
+        self, reactor, address, secret, *, on_message, on_rejected, on_failure
+    ):
         self.reactor = reactor
         self.address = address
         self.signer = Signer(secret)
-        self.received = received
-        self.refused = refused
-        self.failed = failed
+        self.on_message = on_message
+        self.on_rejected = on_rejected
+        self.on_failure = on_failure
         self.context = zmq.Context(io_threads=1)
         self.publisher = self.make_socket(zmq.PUB)
         self.subscriber = self.make_socket(zmq.SUB)
         self.descriptor = NOTHING
         self.peers = {}
-        self.again = NOTHING
+        self.scheduled_read = NOTHING
         self.bytes_sent = 0
         self.messages_sent = 0
         self.bytes_received = 0
@@ -80,22 +82,24 @@
         """Return a socket with bounded queues."""
         socket = self.context.socket(kind)
         socket.linger = 0
-        socket.sndhwm = QUEUE
-        socket.rcvhwm = QUEUE
+        socket.sndhwm = MAX_QUEUED_MESSAGES
+        socket.rcvhwm = MAX_QUEUED_MESSAGES
         return socket
 
     def start(self):
         """Listen, and let the reactor wait for messages."""
         self.publisher.bind(f"tcp://{self.address}")
-        self.descriptor = _Descriptor(self.subscriber, self.drain)
+        self.descriptor = _SocketDescriptor(
+            self.subscriber, self.read_messages
+        )
         self.reactor.addReader(self.descriptor)
 
     def stop(self):
         """Close all sockets."""
         if self.descriptor is not NOTHING:
             self.reactor.removeReader(self.descriptor)
-        if self.again is not NOTHING and self.again.active():
-            self.again.cancel()
+        if self.scheduled_read is not NOTHING and self.scheduled_read.active():
+            self.scheduled_read.cancel()
         self.publisher.close()
         self.subscriber.close()
         self.context.term()
@@ -116,7 +120,7 @@
         for address in peers - set(self.peers) - {self.address}:
             self.subscriber.connect(f"tcp://{address}")
             self.peers[address] = True
-        self.schedule_drain()
+        self.schedule_read()
 
     def publish(self, topic, message):
         """Send *message* to all who subscribed to *topic*."""
@@ -127,7 +131,7 @@
         self.bytes_sent += sum(len(frame) for frame in frames)
         return len(payload)
 
-    def drain(self):
+    def read_messages(self):
         """Read messages until there are none.
 
         The descriptor only signals the step from no message to some, so
@@ -135,36 +139,36 @@
         handler, would never be woken for the rest. A
         flood is read in slices, so that requests are served between.
         """
-        for _ in range(DRAIN_AT_ONCE):
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 frames = self.subscriber.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
             try:
-                self.take(frames)
+                self.handle_frames(frames)
             except Exception:  # noqa: BLE001 - reported, and read on
-                self.failed(Failure())
-        self.schedule_drain()
+                self.on_failure(Failure())
+        self.schedule_read()
 
-    def schedule_drain(self):
+    def schedule_read(self):
         """Read once more soon."""
-        if self.again is not NOTHING and self.again.active():
+        if self.scheduled_read is not NOTHING and self.scheduled_read.active():
             return
-        self.again = self.reactor.callLater(0, self.drain)
+        self.scheduled_read = self.reactor.callLater(0, self.read_messages)
 
-    def take(self, frames):
+    def handle_frames(self, frames):
         """Check one message and hand it over."""
         self.bytes_received += sum(len(frame) for frame in frames)
         if len(frames) != 3:
-            self.refused("not three frames")
+            self.on_rejected("not three frames")
             return
         topic, payload, signature = frames
         if not self.signer.verify(signature, topic, payload):
-            self.refused("bad signature")
+            self.on_rejected("bad signature")
             return
         try:
             message = decode_message(payload)
         except ProtocolError as error:
-            self.refused(str(error))
+            self.on_rejected(str(error))
             return
-        self.received(message)
+        self.on_message(message)
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -31,41 +31,43 @@
 from ..core.sentinels import NOTHING
 from ..stores.claimlogs import CLAIMS_PREFIX, MARK_LIFE, ClaimLog
 from .clients import fetch
-from .control import SIGNATURE
+from .control import SIGNATURE_HEADER
 from .serving import header, respond, respond_error
 
 CLAIM_PATH = "/claims"
-NONCE_SIZE = 8
-CLAIM_WITHIN = 1.5
-OWNER_WITHIN = 0.6
-ORPHAN_AFTER = 4.0
+NONCE_BYTES = 8
+CLAIM_TIMEOUT_SECONDS = 1.5
+OWNER_TIMEOUT_SECONDS = 0.6
+RELEASE_DELAY_SECONDS = 4.0
 FLEET_WRITES_PER_SECOND = 200.0
 WRITE_BURST = 2.0
-RETRY_AFTER = 2.0
+RETRY_AFTER_SECONDS = 2.0
 
-REFUSALS = {
+REJECTIONS = {
     Verdict.IN_PROGRESS: Repeated(Reason.CLAIM_IN_PROGRESS),
     Verdict.DONE: Repeated(Reason.CLAIM_DONE),
     Verdict.UNKNOWN: Unknown(Reason.CLAIM_UNKNOWN),
-    Verdict.UNAVAILABLE: NotRun(Reason.CLAIMS_UNAVAILABLE, RETRY_AFTER),
+    Verdict.UNAVAILABLE: NotRun(
+        Reason.CLAIMS_UNAVAILABLE, RETRY_AFTER_SECONDS
+    ),
 }
 
 
-class ClaimAsk(msgspec.Struct, frozen=True, array_like=True):
+class ClaimRequest(msgspec.Struct, frozen=True, array_like=True):
     """A record that another host is asked to write."""
 
     record: Record
     within: float
 
 
-class ClaimAnswer(msgspec.Struct, frozen=True, array_like=True):
+class ClaimResponse(msgspec.Struct, frozen=True, array_like=True):
     """The owner's word on a record."""
 
     verdict: str
 
 
-ASK_DECODER = msgspec.msgpack.Decoder(ClaimAsk)
-ANSWER_DECODER = msgspec.msgpack.Decoder(ClaimAnswer)
+REQUEST_DECODER = msgspec.msgpack.Decoder(ClaimRequest)
+RESPONSE_DECODER = msgspec.msgpack.Decoder(ClaimResponse)
 
 
 class Claims:
@@ -108,7 +110,7 @@
 
     def add_routes(self, router):
         """Add the path for asks of other hosts."""
-        router.add("POST", CLAIM_PATH, self.serve_ask)
+        router.add("POST", CLAIM_PATH, self.serve_claim)
 
     async def carry_out(self, request, run):
         """Run the request, after its key is claimed if it needs that.
@@ -120,18 +122,18 @@
         if request.repeatable or request.key is NOTHING:
             return await run()
         if self.health.down:
-            return REFUSALS[Verdict.UNAVAILABLE]
-        nonce = secrets.token_bytes(NONCE_SIZE)
+            return REJECTIONS[Verdict.UNAVAILABLE]
+        nonce = secrets.token_bytes(NONCE_BYTES)
         record = self.make_record(request, nonce, Mark.CLAIMED)
         verdict = await self.claim(record, request)
         if verdict is not Verdict.GRANTED:
             self.release_later(record, verdict)
-            return REFUSALS[verdict]
+            return REJECTIONS[verdict]
         outcome = Unknown(Reason.CALLER_GONE)
         try:
             outcome = await run()
         finally:
-            self.note_outcome(record, outcome)
+            self.record_outcome(record, outcome)
         return outcome
 
     def make_record(self, request, nonce, mark):
@@ -147,11 +149,13 @@
     async def claim(self, record, request):
         """Return the `Verdict` on a claim."""
         remaining = request.deadline - self.state.clock.seconds()
-        within = min(CLAIM_WITHIN, remaining)
+        within = min(CLAIM_TIMEOUT_SECONDS, remaining)
         owner = self.owner(shard_of(record.digest))
         if owner is not NOTHING:
-            ask = min(OWNER_WITHIN, within)
-            verdict = await self.ask_owner(owner, record, ask)
+            owner_timeout = min(OWNER_TIMEOUT_SECONDS, within)
+            verdict = await self.request_from_owner(
+                owner, record, owner_timeout
+            )
             if verdict is not NOTHING:
                 return verdict
         return await self.submit(record, within)
@@ -169,10 +173,10 @@
 
     def submit(self, record, within):
         """Write a record by this host; return a deferred `Verdict`."""
-        log = self.log(shard_of(record.digest))
-        return log.submit(record, self.state.clock.seconds() + within)
+        claim_log = self.claim_log(shard_of(record.digest))
+        return claim_log.submit(record, self.state.clock.seconds() + within)
 
-    def log(self, shard):
+    def claim_log(self, shard):
         """Return the `ClaimLog` of a shard."""
         if shard not in self.logs:
             self.logs[shard] = ClaimLog(
@@ -186,7 +190,7 @@
             )
         return self.logs[shard]
 
-    async def ask_owner(self, owner, record, within):
+    async def request_from_owner(self, owner, record, within):
         """Have the owner write a record.
 
         Returns:
@@ -194,9 +198,9 @@
             have written the record all the same; written again with the
             same nonce, the record means the same.
         """
-        body = msgspec.msgpack.encode(ClaimAsk(record, within))
+        body = msgspec.msgpack.encode(ClaimRequest(record, within))
         signature = self.signer.sign(CLAIM_PATH.encode(), body)
-        headers = Headers({SIGNATURE.encode(): [b64encode(signature)]})
+        headers = Headers({SIGNATURE_HEADER.encode(): [b64encode(signature)]})
         try:
             status, answer = await fetch(
                 self.agent,
@@ -209,7 +213,7 @@
             )
             if status != 200:
                 return NOTHING
-            return Verdict(ANSWER_DECODER.decode(answer).verdict)
+            return Verdict(RESPONSE_DECODER.decode(answer).verdict)
         except (
             NoAnswerError,
             ProtocolError,
@@ -218,24 +222,24 @@
         ):
             return NOTHING
 
-    async def serve_ask(self, http_request):
+    async def serve_claim(self, http_request):
         """Write a record for another host."""
         http_request.content.seek(0)
         body = http_request.content.read()
         try:
-            signature = b64decode(header(http_request, SIGNATURE))
-            sound = self.signer.verify(signature, CLAIM_PATH.encode(), body)
-            ask = ASK_DECODER.decode(body)
+            signature = b64decode(header(http_request, SIGNATURE_HEADER))
+            is_valid = self.signer.verify(signature, CLAIM_PATH.encode(), body)
+            claim_request = REQUEST_DECODER.decode(body)
         except (Base64Error, msgspec.DecodeError):
-            sound = False
-        if not sound:
+            is_valid = False
+        if not is_valid:
             respond_error(http_request, 403, "bad_signature", "bad ask")
             return
-        verdict = await self.submit(ask.record, ask.within)
-        answer = msgspec.msgpack.encode(ClaimAnswer(verdict.value))
+        verdict = await self.submit(claim_request.record, claim_request.within)
+        answer = msgspec.msgpack.encode(ClaimResponse(verdict.value))
         respond(http_request, 200, answer, content_type="application/msgpack")
 
-    def note_outcome(self, record, outcome):
+    def record_outcome(self, record, outcome):
         """Write down how the request with the key ended."""
         mark = Mark.UNKNOWN
         if isinstance(outcome, Answered):
@@ -249,7 +253,9 @@
         marked = msgspec.structs.replace(record, mark=mark)
         owner = self.owner(shard_of(record.digest))
         if owner is not NOTHING:
-            verdict = await self.ask_owner(owner, marked, OWNER_WITHIN)
+            verdict = await self.request_from_owner(
+                owner, marked, OWNER_TIMEOUT_SECONDS
+            )
             if verdict not in (NOTHING, Verdict.UNAVAILABLE):
                 return
         await self.submit(marked, MARK_LIFE)
@@ -265,7 +271,7 @@
         if verdict is not Verdict.UNAVAILABLE:
             return
         self.state.clock.callLater(
-            ORPHAN_AFTER,
+            RELEASE_DELAY_SECONDS,
             lambda: defer.ensureDeferred(
                 self.write_mark(record, Mark.RELEASED)
             ),
--- a/src/hyssopspring/net/control.py
+++ b/src/hyssopspring/net/control.py
@@ -14,12 +14,12 @@
 from .clients import NETWORK_FAILURES, read_body
 from .serving import header, respond, respond_error
 
-SIGNATURE = "hyssop-signature"
-PAGE_TIMEOUT = 1.0
-CONFIG_PAGE = "/config"
-STATUS_PAGE = "/status"
-EVENTS_PAGE = "/events"
-FAILURES = (*NETWORK_FAILURES, ProtocolError)
+SIGNATURE_HEADER = "hyssop-signature"
+REQUEST_TIMEOUT_SECONDS = 1.0
+CONFIG_PATH = "/config"
+STATUS_PATH = "/status"
+EVENTS_PATH = "/events"
+CLIENT_FAILURES = (*NETWORK_FAILURES, ProtocolError)
 
 
 class HostStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,7 +52,7 @@
     trust: str
 
 
-class ControlPages:
+class ControlApi:
     """Serve the signed pages of one gateway.
 
     Args:
@@ -70,47 +70,53 @@
 
     def add_routes(self, router):
         """Add the pages."""
-        router.add("GET", CONFIG_PAGE, self.show_config)
-        router.add("GET", STATUS_PAGE, self.show_status)
-        router.add("GET", EVENTS_PAGE, self.show_events)
+        router.add("GET", CONFIG_PATH, self.show_config)
+        router.add("GET", STATUS_PATH, self.show_status)
+        router.add("GET", EVENTS_PATH, self.show_events)
 
     def show_config(self, request):
         """Answer with the accepted configuration."""
-        self.answer(request, lambda: encode_accepted(self.keeper.accepted))
+        self.respond_signed(
+            request, lambda: encode_accepted(self.keeper.accepted)
+        )
 
     def show_status(self, request):
         """Answer with the `HostStatus`."""
-        self.answer(request, lambda: msgspec.json.encode(self.status()))
+        self.respond_signed(
+            request, lambda: msgspec.json.encode(self.status())
+        )
 
     def show_events(self, request):
         """Answer with the kept events."""
-        asked = request.args.get(b"request", [b""])[0].decode()
-        self.answer(
+        request_id = request.args.get(b"request", [b""])[0].decode()
+        self.respond_signed(
             request,
-            lambda: msgspec.json.encode(self.timeline.select(request=asked)),
+            lambda: msgspec.json.encode(
+                self.timeline.select(request=request_id)
+            ),
         )
 
-    def answer(self, request, make):
+    def respond_signed(self, request, make_body):
         """Answer a signed request with a signed body."""
         try:
-            signature = b64decode(header(request, SIGNATURE))
+            signature = b64decode(header(request, SIGNATURE_HEADER))
         except Base64Error:
             signature = b""
         if not self.signer.verify(signature, request.uri):
             respond_error(request, 403, "bad_signature", "bad signature")
             return
-        body = make()
+        body = make_body()
         signed = b64encode(self.signer.sign(request.uri, body)).decode()
         respond(
             request,
             200,
             body,
             content_type="application/octet-stream",
-            headers=[(SIGNATURE, signed)],
+            headers=[(SIGNATURE_HEADER, signed)],
         )
 
 
-class PageReader:
+class ControlClient:
     """Read the signed pages of other hosts.
 
     Args:
@@ -126,54 +132,56 @@
 
     async def config(self, address):
         """Return the `Accepted` that the host holds, or `NOTHING`."""
-        body = await self.read(address, CONFIG_PAGE)
+        body = await self.fetch(address, CONFIG_PATH)
         return body if body is NOTHING else decode_accepted(body)
 
     async def status(self, address):
         """Return the `HostStatus` of the host, or `NOTHING`."""
-        body = await self.read(address, STATUS_PAGE)
+        body = await self.fetch(address, STATUS_PATH)
         if body is NOTHING:
             return NOTHING
         return msgspec.json.decode(body, type=HostStatus)
 
     async def events(self, address, request=""):
         """Return the events that the host keeps, or `NOTHING`."""
-        page = f"{EVENTS_PAGE}?request={request}" if request else EVENTS_PAGE
-        body = await self.read(address, page)
+        path = f"{EVENTS_PATH}?request={request}" if request else EVENTS_PATH
+        body = await self.fetch(address, path)
         if body is NOTHING:
             return NOTHING
         return msgspec.json.decode(body, type=list[Event])
 
-    async def read(self, address, page):
+    async def fetch(self, address, path):
         """Return the body of a page, or `NOTHING` if there is no answer.
 
         Args:
             address: Address of the host for forwarded requests.
-            page: Path and query.
+            path: Path and query of the URL.
         """
-        work = defer.ensureDeferred(self.ask(address, page.encode()))
-        work.addTimeout(PAGE_TIMEOUT, self.clock)
+        work = defer.ensureDeferred(self.send_request(address, path.encode()))
+        work.addTimeout(REQUEST_TIMEOUT_SECONDS, self.clock)
         try:
             return await work
-        except FAILURES:
+        except CLIENT_FAILURES:
             return NOTHING
 
-    async def ask(self, address, page):
+    async def send_request(self, address, path):
         """Send one signed request and check the signed answer."""
-        signature = b64encode(self.signer.sign(page))
+        signature = b64encode(self.signer.sign(path))
         response = await self.agent.request(
             b"GET",
-            f"http://{address}".encode() + page,
-            Headers({SIGNATURE.encode(): [signature]}),
+            f"http://{address}".encode() + path,
+            Headers({SIGNATURE_HEADER.encode(): [signature]}),
         )
         body = await read_body(response)
-        values = response.headers.getRawHeaders(SIGNATURE.encode(), [b""])
+        values = response.headers.getRawHeaders(
+            SIGNATURE_HEADER.encode(), [b""]
+        )
         try:
             signed = b64decode(values[0])
         except Base64Error:
             signed = b""
         if response.code != 200:
             raise ProtocolError(f"{address} answered {response.code}")
-        if not self.signer.verify(signed, page, body):
+        if not self.signer.verify(signed, path, body):
             raise ProtocolError(f"bad signature of {address}")
         return body
--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashes.py
@@ -10,7 +10,7 @@
 from ..core.sentinels import NOTHING
 from ..entry.crashsharing import row_of, suspect_of
 from ..traffic.crashes import KEPT, Crashes, End, Verdict, is_early
-from .messages import CallSuspects
+from .messages import CrashSuspectsMessage
 
 __all__ = ["CRASH_TOPIC", "AttemptTimes", "CallCrashes"]
 
@@ -45,7 +45,7 @@
         host: Name of this host.
         clock: The runtime's clock.
         timeline: The `Timeline`.
-        publish: Called with a `CallSuspects` for all hosts.
+        publish: Called with a `CrashSuspectsMessage` for all hosts.
     """
 
     def __init__(self, host, clock, timeline, publish):
@@ -137,7 +137,7 @@
         """Tell all hosts of some calls."""
         now = self.clock.seconds()
         rows = [row_of(one, now) for one in suspects[:ROWS_AT_ONCE]]
-        self.publish(CallSuspects(host=self.host, rows=rows))
+        self.publish(CrashSuspectsMessage(host=self.host, rows=rows))
 
     def take(self, message):
         """Take over what another host tells, and pass on what is news.
--- a/src/hyssopspring/net/forwarding.py
+++ b/src/hyssopspring/net/forwarding.py
@@ -13,7 +13,7 @@
 from ..core.sentinels import NOTHING
 from .answers import Sink, read_outcome, respond_outcome
 from .backends import Call, Message
-from .messages import ENCODER, ForwardedHead, decode_head
+from .messages import ENCODER, ForwardedRequestHead, decode_head
 from .serving import header
 
 HEAD = b"hyssop-head"
@@ -51,8 +51,8 @@
 
 
 def make_head(request, message, step, state):
-    """Return the `ForwardedHead` of a request for another host."""
-    return ForwardedHead(
+    """Return the `ForwardedRequestHead` of a request for another host."""
+    return ForwardedRequestHead(
         id=f"{request.id}-{step.number}",
         attempt=step.number,
         path=[*request.path, state.host],
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -26,18 +26,18 @@
 SHARES_PREFIX = "/hyssop/shares/"
 FLEET_WRITES_PER_SECOND = 100.0
 WRITE_BURST = LEDGERS
-ASK_AGAIN = 1.0
-ADJUST = 0.2
-RENEW_BEFORE = 3600.0
-MEASURE_EVERY = 1.0
-TRIES = 4
-REASONS = {
+MIN_UPDATE_INTERVAL_SECONDS = 1.0
+MIN_RELATIVE_CHANGE = 0.2
+RENEW_BEFORE_EXPIRY_SECONDS = 3600.0
+TICK_INTERVAL_SECONDS = 1.0
+MAX_WRITE_ATTEMPTS = 4
+REASON_BY_LIMIT = {
     "concurrent": Reason.CONCURRENCY_LIMIT,
     "requests_per_second": Reason.RATE_LIMIT,
 }
 
 
-class Limits:
+class WorkspaceLimiter:
     """Admit requests within this host's share of their limits.
 
     Args:
@@ -48,14 +48,14 @@
         failed: Called with the failure of work in the background.
     """
 
-    def __init__(self, state, peers, store, wall, *, failed):
+    def __init__(self, state, peers, store, wall, *, on_failure):
         self.state = state
         self.peers = peers
         self.store = store
         self.wall = wall
-        self.failed = failed
+        self.on_failure = on_failure
         self.usages = {}
-        self.working = {}
+        self.waiting_by_ledger = {}
         self.pacer = Pacer(FLEET_WRITES_PER_SECOND, WRITE_BURST)
 
     async def carry_out(self, request, run):
@@ -72,7 +72,7 @@
         usage.asked += 1
         refused = await self.admit(request.workspace, usage, limits)
         if refused is not NOTHING:
-            return NotRun(REASONS[refused])
+            return NotRun(REASON_BY_LIMIT[refused])
         try:
             return await run()
         finally:
@@ -91,13 +91,15 @@
     async def admit(self, workspace, usage, limits):
         """Take from the share; ask for a larger one first if it is due."""
         now = self.state.clock.seconds()
-        number = ledger_of(workspace)
+        ledger_number = ledger_of(workspace)
         refused = usage.take(limits, now, self.wall())
-        lately = now - usage.tried_at < ASK_AGAIN
-        if refused is NOTHING or (lately and number not in self.working):
+        is_recent = now - usage.tried_at < MIN_UPDATE_INTERVAL_SECONDS
+        if refused is NOTHING or (
+            is_recent and ledger_number not in self.waiting_by_ledger
+        ):
             return refused
         usage.tried_at = now
-        await self.settle(number)
+        await self.update_ledger(ledger_number)
         return usage.take(limits, self.state.clock.seconds(), self.wall())
 
     def tick(self):
@@ -105,30 +107,35 @@
         hosts = len(self.peers.entries) + 1
         self.pacer.rate = FLEET_WRITES_PER_SECOND / hosts
         for usage in self.usages.values():
-            usage.measure(MEASURE_EVERY)
+            usage.measure(TICK_INTERVAL_SECONDS)
         for workspace in self.state.keeper.enforced.workspaces:
-            if self.floor(workspace) and self.limits(workspace):
+            if self.min_units(workspace) and self.limits(workspace):
                 self.usages.setdefault(workspace, Usage())
         due = {
             ledger_of(workspace)
             for workspace, usage in self.usages.items()
             if self.is_due(workspace, usage)
         }
-        for number in sorted(due):
-            defer.ensureDeferred(self.settle(number))
+        for ledger_number in sorted(due):
+            defer.ensureDeferred(self.update_ledger(ledger_number))
 
     def is_due(self, workspace, usage):
         """Whether a holding should change by much, or be renewed."""
         limits = self.limits(workspace)
         wanted = 0
         if limits is not NOTHING:
-            wanted = usage.wanted(limits, self.floor(workspace))
-        if usage.units and usage.until - self.wall() < RENEW_BEFORE:
+            wanted = usage.wanted(limits, self.min_units(workspace))
+        if (
+            usage.units
+            and usage.until - self.wall() < RENEW_BEFORE_EXPIRY_SECONDS
+        ):
             return True
-        gap = abs(wanted - usage.units)
-        return gap > max(ADJUST * usage.units, WHOLE // 200)
+        difference = abs(wanted - usage.units)
+        return difference > max(
+            MIN_RELATIVE_CHANGE * usage.units, WHOLE // 200
+        )
 
-    def floor(self, workspace):
+    def min_units(self, workspace):
         """Return the units that a host of the home region keeps.
 
         Without them a home region that is cut off could not serve its
@@ -144,54 +151,57 @@
         )
         return int(WHOLE * HOME_FLOOR / at_home)
 
-    def settle(self, number):
+    def update_ledger(self, ledger_number):
         """Bring one ledger up to date; return a deferred.
 
         Those who ask while the work is going on share its result.
         """
-        if number in self.working:
+        if ledger_number in self.waiting_by_ledger:
             waiting = defer.Deferred()
-            self.working[number].append(waiting)
+            self.waiting_by_ledger[ledger_number].append(waiting)
             return waiting
-        self.working[number] = []
-        work = defer.ensureDeferred(self.settle_ledger(number))
-        return work.addBoth(self.settled, number)
+        self.waiting_by_ledger[ledger_number] = []
+        work = defer.ensureDeferred(self.write_ledger(ledger_number))
+        return work.addBoth(self.on_ledger_updated, ledger_number)
 
-    def settled(self, result, number):
+    def on_ledger_updated(self, result, ledger_number):
         """Wake all who waited for the same ledger."""
         if isinstance(result, Failure):
-            self.failed(result)
+            self.on_failure(result)
             result = None
-        for waiting in self.working.pop(number):
+        for waiting in self.waiting_by_ledger.pop(ledger_number):
             waiting.callback(None)
         return result
 
-    async def settle_ledger(self, number):
+    async def write_ledger(self, ledger_number):
         """Write what this host wants, and use what it got."""
-        for _ in range(TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             if not self.pacer.take(self.state.clock.seconds()):
                 return
             try:
-                if await self.swap(number):
+                if await self.try_write(ledger_number):
                     return
             except (KeyValueError, ProtocolError):
                 return
 
-    async def swap(self, number):
+    async def try_write(self, ledger_number):
         """Make one try; return whether no further one is needed.
 
         What shrinks is used less before it is written, and stays so if
         the write fails. What grows is used only after the write.
         """
-        key = f"{SHARES_PREFIX}{number}"
+        key = f"{SHARES_PREFIX}{ledger_number}"
         entry = await self.store.get(key)
         before, revision = Ledger(), 0
         if entry is not NOTHING:
             before, revision = decode_ledger(entry.value), entry.revision
         after = settle(
-            before, self.state.host, self.all_wants(number), self.wall()
+            before,
+            self.state.host,
+            self.own_demands(ledger_number),
+            self.wall(),
         )
-        held = self.own_holdings(number, after)
+        held = self.own_holdings(ledger_number, after)
         for workspace, holding in held.items():
             usage = self.usages[workspace]
             usage.units = min(usage.units, holding.units)
@@ -204,31 +214,33 @@
             usage = self.usages[workspace]
             usage.units = holding.units
             usage.until = holding.until
-        self.state.timeline.note(EventKind.SHARES_CHANGED, ledger=number)
+        self.state.timeline.note(
+            EventKind.SHARES_CHANGED, ledger=ledger_number
+        )
         return True
 
-    def all_wants(self, number):
+    def own_demands(self, ledger_number):
         """Return the `Want` by workspace for one ledger."""
         return {
-            workspace: self.wants(workspace, usage)
+            workspace: self.own_demand(workspace, usage)
             for workspace, usage in self.usages.items()
-            if ledger_of(workspace) == number
+            if ledger_of(workspace) == ledger_number
         }
 
-    def own_holdings(self, number, ledger):
+    def own_holdings(self, ledger_number, ledger):
         """Return this host's `Holding` by workspace in one ledger."""
         return {
             workspace: ledger.holdings[workspace].get(
                 self.state.host, NO_HOLDING
             )
             for workspace in self.usages
-            if ledger_of(workspace) == number
+            if ledger_of(workspace) == ledger_number
         }
 
-    def wants(self, workspace, usage):
+    def own_demand(self, workspace, usage):
         """Return the `Want` of this host for a workspace."""
         limits = self.limits(workspace)
         if limits is NOTHING:
             return Want()
-        units = usage.wanted(limits, self.floor(workspace))
+        units = usage.wanted(limits, self.min_units(workspace))
         return Want(units, usage.busy(limits))
--- a/src/hyssopspring/net/membership.py
+++ b/src/hyssopspring/net/membership.py
@@ -10,22 +10,22 @@
 from ..core.placement import CentreSummary
 from ..core.requests import Target, TargetKind
 from ..core.sentinels import NOTHING
-from .bus import SUMMARY_TOPIC, beat_topic
+from .bus import SUMMARY_TOPIC, heartbeat_topic
 from .clients import fetch
 from .dispatching import LOAD_DECODER, load_report, reported_load
 from .messages import (
     ENCODER,
+    DataCentreSummaryMessage,
     Heartbeat,
     ServerLoad,
-    Summary,
     TargetLoad,
 )
 
-POLL_AFTER = 1.5
-POLL_TIMEOUT = 1.0
+MAX_REPORT_AGE_SECONDS = 1.5
+POLL_TIMEOUT_SECONDS = 1.0
 SUMMARY_BYTES_PER_SECOND = 1000
-SUMMARY_EVERY = 1.0
-ANNOUNCED_SUMMARY = 5.0
+MIN_SUMMARY_INTERVAL_SECONDS = 1.0
+MAX_ANNOUNCED_INTERVAL_SECONDS = 5.0
 
 
 class Membership:
@@ -53,7 +53,7 @@
         *,
         incarnation,
         forward_address,
-        newer,
+        on_newer_generation,
     ):
         self.state = state
         self.peers = peers
@@ -62,15 +62,15 @@
         self.drain = drain
         self.incarnation = incarnation
         self.forward_address = forward_address
-        self.newer = newer
+        self.on_newer_generation = on_newer_generation
         self.sequence = 0
         self.summary_due = 0.0
-        self.summary_every = SUMMARY_EVERY
+        self.summary_interval = MIN_SUMMARY_INTERVAL_SECONDS
         self.polls = 0
 
     def start(self):
         """Subscribe to what this host needs to hear."""
-        self.bus.subscribe(beat_topic(self.state.data_centre))
+        self.bus.subscribe(heartbeat_topic(self.state.data_centre))
         self.bus.subscribe(SUMMARY_TOPIC)
 
     def tick(self):
@@ -88,7 +88,7 @@
         Other data centres have watchers of their own, so a summary ahead
         of its time is sent only where it costs little.
         """
-        if self.summary_every <= ANNOUNCED_SUMMARY:
+        if self.summary_interval <= MAX_ANNOUNCED_INTERVAL_SECONDS:
             self.summary_due = 0.0
         self.send_heartbeat()
 
@@ -107,16 +107,16 @@
             generation=self.state.keeper.generation,
             leaving=self.drain.leaving,
             contact=self.state.trust.in_contact(now),
-            servers=self.fresh_reports(now),
+            servers=self.recent_reports(now),
             departing=[
                 name
                 for name, server in self.state.table.servers.items()
                 if server.leaving
             ],
         )
-        self.bus.publish(beat_topic(self.state.data_centre), message)
+        self.bus.publish(heartbeat_topic(self.state.data_centre), message)
 
-    def fresh_reports(self, now):
+    def recent_reports(self, now):
         """Return the reports of the last interval, to pass them on."""
         loads = []
         for name, server in self.state.table.servers.items():
@@ -150,7 +150,7 @@
         )
         millis, counter = self.state.timeline.clock.tick()
         self.sequence += 1
-        message = Summary(
+        message = DataCentreSummaryMessage(
             host=self.state.host,
             region=self.state.region,
             data_centre=self.state.data_centre,
@@ -164,12 +164,12 @@
             targets=target_loads(self.state.table, now),
         )
         size = len(ENCODER.encode(message))
-        paced = size * max(1, listeners) / SUMMARY_BYTES_PER_SECOND
-        every = max(SUMMARY_EVERY, paced)
-        self.summary_every = every
-        message = msgspec.structs.replace(message, every=every)
+        paced_interval = size * max(1, listeners) / SUMMARY_BYTES_PER_SECOND
+        interval = max(MIN_SUMMARY_INTERVAL_SECONDS, paced_interval)
+        self.summary_interval = interval
+        message = msgspec.structs.replace(message, every=interval)
         self.bus.publish(SUMMARY_TOPIC, message)
-        self.summary_due = now + every - HEARTBEAT_EVERY / 2
+        self.summary_due = now + interval - HEARTBEAT_EVERY / 2
 
     def local_gateways(self, now):
         """Return where other data centres can forward requests to."""
@@ -182,24 +182,24 @@
             addresses.append(self.forward_address)
         return sorted(addresses)
 
-    def hear(self, message):
+    def handle_message(self, message):
         """Take in a message of another host."""
         now = self.state.clock.seconds()
         self.state.timeline.clock.witness(message.millis, message.counter)
         if not self.peers.hear(message, now):
             return
         if message.generation > self.state.keeper.generation:
-            self.newer(message.host, message.generation)
+            self.on_newer_generation(message.host, message.generation)
         else:
-            self.note_contact(message, now)
-        if isinstance(message, Summary):
+            self.record_platform_contact(message, now)
+        if isinstance(message, DataCentreSummaryMessage):
             if message.data_centre == self.state.data_centre:
                 return
             self.state.centres.take(centre_summary(message, now))
         elif isinstance(message, Heartbeat):
-            self.take_heartbeat(message, now)
+            self.handle_heartbeat(message, now)
 
-    def note_contact(self, message, now):
+    def record_platform_contact(self, message, now):
         """Note a neighbour's word that it has just read the platform.
 
         A message of a newer configuration proves nothing until that is
@@ -208,29 +208,29 @@
         if isinstance(message, Heartbeat) and message.contact:
             self.state.trust.hear_neighbour(now)
 
-    def take_heartbeat(self, message, now):
+    def handle_heartbeat(self, message, now):
         """Take over the loads that a host of this data centre took."""
         for load in message.servers:
             name = self.state.table.names.get(load.server)
             if name is not None:
-                self.take_load(name, load_report(load, now))
+                self.apply_load_report(name, load_report(load, now))
         for name in message.departing:
             server = self.state.table.servers.get(name)
             if server is not None and not server.leaving:
-                self.note_leaving(name, message.host)
+                self.log_draining_server(name, message.host)
                 self.state.table.mark_leaving(name)
 
-    def take_load(self, name, report):
+    def apply_load_report(self, name, report):
         """Take over one load report."""
         server = self.state.table.servers.get(name)
         if server is None:
             return
-        before = server.leaving
+        was_leaving = server.leaving
         self.state.table.take_report(name, report)
-        if server.leaving and not before:
-            self.note_leaving(name, self.state.host)
+        if server.leaving and not was_leaving:
+            self.log_draining_server(name, self.state.host)
 
-    def note_leaving(self, name, source):
+    def log_draining_server(self, name, source):
         """Put a server's leave on the time line."""
         self.state.timeline.note(
             EventKind.SERVER_LEAVING, server=name, source=source
@@ -238,14 +238,19 @@
 
     def poll_servers(self, now):
         """Ask the servers that this host polls and has no news of."""
-        work = []
+        polls_in_progress = []
         for name, server in list(self.state.table.servers.items()):
             report = server.report
-            fresh = report is not NOTHING and now - report.at < POLL_AFTER
-            if fresh or not self.peers.owns(name, now):
+            is_recent = (
+                report is not NOTHING
+                and now - report.at < MAX_REPORT_AGE_SECONDS
+            )
+            if is_recent or not self.peers.owns(name, now):
                 continue
-            work.append(defer.ensureDeferred(self.poll(name, server)))
-        return defer.DeferredList(work)
+            polls_in_progress.append(
+                defer.ensureDeferred(self.poll(name, server))
+            )
+        return defer.DeferredList(polls_in_progress)
 
     async def poll(self, name, server):
         """Ask one server for its load."""
@@ -256,7 +261,7 @@
                 b"GET",
                 f"http://{server.entry.address}/load",
                 clock=self.state.clock,
-                timeout=POLL_TIMEOUT,
+                timeout=POLL_TIMEOUT_SECONDS,
             )
         except (NoAnswerError, ProtocolError):
             return
@@ -267,7 +272,7 @@
         except msgspec.DecodeError:
             return
         now = self.state.clock.seconds()
-        self.take_load(name, reported_load(load, now))
+        self.apply_load_report(name, reported_load(load, now))
 
 
 def target_loads(table, now):
--- a/src/hyssopspring/net/messages.py
+++ b/src/hyssopspring/net/messages.py
@@ -8,8 +8,8 @@
 from ..core.exceptions import ProtocolError
 from ..entry.messages import SuspectRow
 
-VERSION = 1
-MAC_SIZE = 16
+FORMAT_VERSION = 1
+MAC_BYTES = 16
 
 
 class ServerLoad(msgspec.Struct, frozen=True, array_like=True):
@@ -58,7 +58,7 @@
         departing: Backend servers that it has evidence of leaving.
     """
 
-    version: int = VERSION
+    version: int = FORMAT_VERSION
     host: str
     data_centre: str
     incarnation: str
@@ -72,7 +72,7 @@
     departing: list[str] = []
 
 
-class Summary(
+class DataCentreSummaryMessage(
     msgspec.Struct, frozen=True, tag="sum", kw_only=True, omit_defaults=True
 ):
     """What a data centre tells the others.
@@ -93,7 +93,7 @@
         targets: `TargetLoad` of each target.
     """
 
-    version: int = VERSION
+    version: int = FORMAT_VERSION
     host: str
     region: str
     data_centre: str
@@ -108,7 +108,7 @@
     targets: list[TargetLoad] = []
 
 
-class CallSuspects(
+class CrashSuspectsMessage(
     msgspec.Struct, frozen=True, tag="crash", kw_only=True, omit_defaults=True
 ):
     """What a host knows of calls under which backend servers ended.
@@ -119,12 +119,12 @@
         rows: `SuspectRow` of each call.
     """
 
-    version: int = VERSION
+    version: int = FORMAT_VERSION
     host: str
     rows: list[SuspectRow]
 
 
-class ForwardedHead(msgspec.Struct, frozen=True, kw_only=True):
+class ForwardedRequestHead(msgspec.Struct, frozen=True, kw_only=True):
     """What goes with a forwarded request.
 
     Attributes:
@@ -166,8 +166,10 @@
     resource: str
 
 
-MESSAGE = msgspec.msgpack.Decoder(Heartbeat | Summary | CallSuspects)
-HEAD = msgspec.msgpack.Decoder(ForwardedHead)
+MESSAGE_DECODER = msgspec.msgpack.Decoder(
+    Heartbeat | DataCentreSummaryMessage | CrashSuspectsMessage
+)
+HEAD_DECODER = msgspec.msgpack.Decoder(ForwardedRequestHead)
 ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -183,7 +185,7 @@
 
     def sign(self, *parts):
         """Return the signature over *parts*."""
-        digest = hashlib.blake2b(key=self.key, digest_size=MAC_SIZE)
+        digest = hashlib.blake2b(key=self.key, digest_size=MAC_BYTES)
         for part in parts:
             digest.update(len(part).to_bytes(8, "big"))
             digest.update(part)
@@ -200,17 +202,17 @@
     Raises:
         ProtocolError: It is none, or of another version.
     """
-    return _checked(MESSAGE, data)
+    return _checked(MESSAGE_DECODER, data)
 
 
 def decode_head(data):
-    """Return the `ForwardedHead` that *data* stands for.
+    """Return the `ForwardedRequestHead` that *data* stands for.
 
     Raises:
         ProtocolError: It is none.
     """
     try:
-        return HEAD.decode(data)
+        return HEAD_DECODER.decode(data)
     except msgspec.DecodeError as error:
         raise ProtocolError(
             f"bad head of a forwarded request: {error}"
@@ -223,6 +225,6 @@
         message = decoder.decode(data)
     except msgspec.DecodeError as error:
         raise ProtocolError(f"bad message: {error}") from None
-    if message.version != VERSION:
+    if message.version != FORMAT_VERSION:
         raise ProtocolError(f"message of version {message.version}")
     return message
--- a/src/hyssopspring/settings.py
+++ b/src/hyssopspring/settings.py
@@ -137,10 +137,10 @@
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        sound = 0 <= int(port) <= 65535
+        is_valid = 0 <= int(port) <= 65535
     except ValueError:
-        sound = False
-    if not sound:
+        is_valid = False
+    if not is_valid:
         raise SettingsError(
             f"{path}: {key}: expected IP address and port such as "
             f"127.0.0.1:8100, got {text!r}"
@@ -151,9 +151,9 @@
     """Check that the host's region is one of the known ones."""
     region = getattr(settings, "region", None)
     if region is not None and region not in settings.regions:
-        known = ", ".join(settings.regions)
+        known_regions = ", ".join(settings.regions)
         raise SettingsError(
-            f"{path}: region: expected one of {known}, got {region!r}"
+            f"{path}: region: expected one of {known_regions}, got {region!r}"
         )
 
 
--- a/src/hyssopspring/stores/following.py
+++ b/src/hyssopspring/stores/following.py
@@ -34,14 +34,14 @@
         state: The `HostState`.
         peers: The `PeerTable`.
         store: The key-value client.
-        pages: The `PageReader`.
+        control_client: The `ControlClient`.
     """
 
-    def __init__(self, state, peers, store, pages):
+    def __init__(self, state, peers, store, control_client):
         self.state = state
         self.peers = peers
         self.store = store
-        self.pages = pages
+        self.control_client = control_client
         self.watch = NOTHING
         self.read_due = 0.0
         self.reading = False
@@ -200,7 +200,7 @@
     async def fetch_from(self, entry):
         """Read another host's configuration and offer it."""
         asked_at = self.state.clock.seconds()
-        accepted = await self.pages.config(entry.forward)
+        accepted = await self.control_client.config(entry.forward)
         if accepted is not NOTHING and accepted.generation:
             self.offer(accepted, entry.host)
             self.state.trust.verify(asked_at)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -89,12 +89,12 @@
             timeline=Timeline(str(host), HybridClock(self.clock.seconds)),
         )
         self.clients[host] = client
-        self.limits[host] = limiting.Limits(
+        self.limits[host] = limiting.WorkspaceLimiter(
             state,
             SimpleNamespace(entries={"other": peer}),
             client,
             self.clock.seconds,
-            failed=self.failures.append,
+            on_failure=self.failures.append,
         )
 
     def ask(self, host, seconds):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -72,9 +72,9 @@
             reactor,
             free_address(),
             "secret",
-            received=received,
-            refused=broken.append,
-            failed=broken.append,
+            on_message=received,
+            on_rejected=broken.append,
+            on_failure=broken.append,
         )
         for _ in range(2)
     )
@@ -107,17 +107,17 @@
         reactor,
         free_address(),
         "wrong",
-        received=heard.append,
-        refused=refused.append,
-        failed=refused.append,
+        on_message=heard.append,
+        on_rejected=refused.append,
+        on_failure=refused.append,
     )
     receiver = Bus(
         reactor,
         free_address(),
         "right",
-        received=heard.append,
-        refused=refused.append,
-        failed=refused.append,
+        on_message=heard.append,
+        on_rejected=refused.append,
+        on_failure=refused.append,
     )
     sender.start()
     receiver.start()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -38,19 +38,19 @@
         },
     },
 }
-WITHIN = 15.0
+TIMEOUT_SECONDS = 15.0
 
 
 @pytest.fixture(scope="module")
 def processes(tmp_path_factory):
     """Yield three regions of separate processes."""
-    made = Processes(TOPOLOGY, tmp_path_factory.mktemp("fleet"))
+    started = Processes(TOPOLOGY, tmp_path_factory.mktemp("fleet"))
     try:
-        made.start()
-        wait_until(lambda: connected(made))
-        yield made
+        started.start()
+        wait_until(lambda: connected(started))
+        yield started
     finally:
-        made.stop()
+        started.stop()
 
 
 def connected(processes):
@@ -71,9 +71,9 @@
 
 def wait_until(condition):
     """Wait until *condition* holds."""
-    give_up = time.monotonic() + WITHIN
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < give_up, "condition did not hold"
+        assert time.monotonic() < deadline, "condition did not hold"
         time.sleep(0.05)
 
 
@@ -108,14 +108,14 @@
         base_url=f"http://{address(processes, 'dar-gateway-0')}/v1",
         max_retries=0,
     )
-    asked = {
+    arguments = {
         "model": "quick-draft",
         "messages": [{"role": "user", "content": "two lorries"}],
         "max_tokens": 5,
     }
-    whole = client.chat.completions.create(**asked)
+    whole = client.chat.completions.create(**arguments)
     assert_that(whole.usage.completion_tokens, Equals(5))
-    parts = list(client.chat.completions.create(**asked, stream=True))
+    parts = list(client.chat.completions.create(**arguments, stream=True))
     assert_that(len(parts), Equals(5))
     assert_that(
         [model.id for model in client.models.list()], Equals(["quick-draft"])
@@ -143,21 +143,21 @@
     """Operators see acceptance, refusal and the reason of each field."""
     good = processes.directory / "20-team.yaml"
     good.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
-    shown = hyssopctl(processes, "config", "put", str(good))
-    assert_that(shown.returncode, Equals(0))
-    assert_that(shown.stdout, Contains("in force after"))
+    result = hyssopctl(processes, "config", "put", str(good))
+    assert_that(result.returncode, Equals(0))
+    assert_that(result.stdout, Contains("in force after"))
     bad = processes.directory / "30-bad.yaml"
     bad.write_text("workspaces:\n  brokers:\n    residency: [mars]\n")
-    shown = hyssopctl(processes, "config", "put", str(bad))
-    assert_that(shown.returncode, Equals(1))
-    assert_that(shown.stderr, Contains("30-bad.yaml:3:"))
-    shown = hyssopctl(processes, "config", "explain", "brokers")
-    assert_that(shown.stdout, Contains("20-team.yaml:1 says 20000"))
-    shown = hyssopctl(processes, "timeline")
-    assert_that(shown.stdout, Contains("config_refused"))
+    result = hyssopctl(processes, "config", "put", str(bad))
+    assert_that(result.returncode, Equals(1))
+    assert_that(result.stderr, Contains("30-bad.yaml:3:"))
+    result = hyssopctl(processes, "config", "explain", "brokers")
+    assert_that(result.stdout, Contains("20-team.yaml:1 says 20000"))
+    result = hyssopctl(processes, "timeline")
+    assert_that(result.stdout, Contains("config_refused"))
     for name in ("20-team.yaml", "30-bad.yaml"):
-        shown = hyssopctl(processes, "config", "rm", name)
-        assert_that(shown.returncode, Equals(0))
+        result = hyssopctl(processes, "config", "rm", name)
+        assert_that(result.returncode, Equals(0))
 
 
 def hyssopctl(processes, *arguments):
@@ -189,17 +189,17 @@
     program = pathlib.Path(sys.executable).parent / "hyssop-gateway"
     for line, key in cases:
         path.write_text(base + line + "\n")
-        shown = subprocess.run(
+        result = subprocess.run(
             [str(program), "--check", "--settings", str(path)],
             capture_output=True,
             text=True,
             timeout=30,
             check=False,
         )
-        assert_that(shown.returncode, Equals(2))
-        assert_that(shown.stderr.count("\n"), Equals(1))
-        assert_that(shown.stderr, Contains(str(path)))
-        assert_that(shown.stderr, Contains(key))
+        assert_that(result.returncode, Equals(2))
+        assert_that(result.stderr.count("\n"), Equals(1))
+        assert_that(result.stderr, Contains(str(path)))
+        assert_that(result.stderr, Contains(key))
 
 
 def test_kill_under_load_runs_nothing_twice(processes):
@@ -210,14 +210,14 @@
     and that host runs it again.
     """
     hosts = ["dar-gateway-0", "dar-gateway-1"]
-    give_up = time.monotonic() + 3 * WITHIN
+    deadline = time.monotonic() + 3 * TIMEOUT_SECONDS
     service = address(processes, "dar-service-0")
     outcomes = {}
 
     def pay(number):
         key = f"kill-{number}"
         for host in itertools.cycle(hosts):
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 return
             try:
                 status, answer = processes.fetch(
@@ -280,8 +280,8 @@
     before = len(ran(processes, "mwanza"))
     processes.signal("mwanza-gateway-0", signal.SIGCONT)
     complete(processes, "mwanza-gateway-0")
-    served_abroad = len(ran(processes, "mwanza")) - before
-    assert_that(served_abroad, Equals(0))
+    served_remotely = len(ran(processes, "mwanza")) - before
+    assert_that(served_remotely, Equals(0))
     processes.fetch("PUT", entry, str_json(row))
     status, _ = processes.operate("DELETE", "/v1/files/20-cut.yaml")
     assert_that(status, Equals(200))
@@ -323,5 +323,5 @@
         processes.signal("dar-gateway-1", signal.SIGTERM)
         statuses = {job.result()[0] for job in work}
     assert_that(statuses, Equals({200}))
-    code = processes.running["dar-gateway-1"].wait(WITHIN)
+    code = processes.running["dar-gateway-1"].wait(TIMEOUT_SECONDS)
     assert_that(code, Equals(0))
