--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -1,4 +1,4 @@
-"""The administration: composition root of ``hyssop-admin``."""
+"""Composition root and command of ``hyssop-admin``."""
 
 import time
 
@@ -15,21 +15,27 @@
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
 from .settings import AdminSettings, settings_command, split_address
-from .stores import etcd  # noqa: F401 - registers itself
+from .stores import etcd  # noqa: F401 - registers the etcd client
 from .stores.hosts import HostListClient
 from .stores.keyvalues import find_key_value
 
 MAX_FILE_BYTES = 256 * 1024
+"""Largest request body, and so the largest configuration file."""
 
 
 class Admin:
-    """All parts of one administration, wired.
+    """Create and run the components of one administration process.
 
     Args:
         settings: `AdminSettings`.
         reactor: The reactor.
         wall: Callable that returns the wall clock in seconds.
-        seed: Seed of random choices, or `NOTHING` for the system's.
+        seed: Seed of the random number generator, or `NOTHING` for one
+            from the operating system.
+
+    Attributes:
+        loop: Periodic evaluation of the configuration folder.
+        port: Listening port, or `NOTHING` before the start.
     """
 
     def __init__(self, settings, reactor, *, wall, seed=NOTHING):
@@ -64,7 +70,7 @@
         self.port = NOTHING
 
     def start(self):
-        """Listen, and judge the folder."""
+        """Start listening and start evaluating the configuration folder."""
         router = Router(self.report_failure)
         self.api.add_routes(router)
         site = LimitedSite(
@@ -77,11 +83,19 @@
         self.timeline.note(EventKind.STARTED)
 
     def report_failure(self, reason):
-        """Write the trace of a handler that raised."""
+        """Log the traceback of a handler that raised.
+
+        Args:
+            reason: The `Failure`.
+        """
         log_failure(self.settings.host, reason)
 
     async def stop(self):
-        """Stop; what is half done, another administration finishes."""
+        """Stop the process.
+
+        An evaluation in progress is abandoned; another administration
+        process completes it.
+        """
         self.loop.stop()
         self.acceptor.stop()
         await self.port.stopListening()
@@ -90,7 +104,7 @@
 
 
 def run(settings):
-    """Run an administration until it is told to stop."""
+    """Run an administration until the process receives a stop signal."""
     from twisted.internet import reactor
 
     start_logging(settings.log)
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: composition root and command of ``hyssop-gateway``."""
+"""Composition root and command of ``hyssop-gateway``."""
 
 import uuid
 
@@ -32,26 +32,46 @@
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
-from .stores import etcd  # noqa: F401 - registers itself
+from .stores import etcd  # noqa: F401 - registers the etcd client
 from .stores.following import ConfigFollower, HostFollower
 from .stores.hosts import HostListClient
 from .stores.keyvalues import find_key_value
 
 STALL_CHECK_INTERVAL_SECONDS = 0.1
+"""Interval at which the delay of the event loop is measured."""
+
 STALL_THRESHOLD_SECONDS = 0.25
+"""Delay of the event loop beyond which a stall is logged."""
+
 HOSTS_TTL_SECONDS = 5
+"""Time for which callers may cache the list of entry hosts; also the interval
+at which this host renews its directory entry."""
 
 __all__ = ["Gateway", "main"]
 
 
 class Gateway:
-    """All parts of one gateway, wired.
+    """Create and run the components of one gateway.
 
     Args:
         settings: `GatewaySettings`.
         reactor: The reactor.
         wall: Callable that returns the wall clock in seconds.
-        seed: Seed of random choices, or `NOTHING` for the system's.
+        seed: Seed of the random number generator, or `NOTHING` for one
+            from the operating system.
+
+    Attributes:
+        incarnation: Identifier of this run of the process.
+        pooled_agent: HTTP agent that reuses connections.
+        unpooled_agent: HTTP agent that opens a connection per request.
+        ports: Listening ports.
+        loops: Periodic calls in progress.
+        longest_stall: Longest recent delay of the event loop in seconds;
+            it decays with each measurement.
+        trust_level: The last logged `Level` of trust.
+        publish_due: Time at which the directory entry is due for renewal.
+        next_stall_check: Time at which the next measurement is expected,
+            or `NOTHING` before the first one.
     """
 
     def __init__(self, settings, reactor, *, wall, seed=NOTHING):
@@ -77,7 +97,7 @@
         self.next_stall_check = NOTHING
 
     def make_state(self, seed):
-        """Return the `HostState`."""
+        """Return the `HostState` of this host."""
         settings = self.settings
         return HostState(
             host=settings.host,
@@ -101,7 +121,7 @@
         )
 
     def wire_platform(self):
-        """Make the clients of the platform."""
+        """Create the clients of the platform."""
         scheme, _, address = self.settings.platform.partition("+")
         client = find_key_value(scheme)
         self.store = client(address, self.pooled_agent, self.reactor)
@@ -120,7 +140,7 @@
         )
 
     def wire_serving(self):
-        """Make what serves callers and other hosts."""
+        """Create the components that serve callers and other hosts."""
         client = BackendClient(
             self.pooled_agent, self.unpooled_agent, self.reactor, self.timeline
         )
@@ -156,7 +176,7 @@
         )
 
     def wire_membership(self):
-        """Make what exchanges control messages."""
+        """Create the components that exchange control messages."""
         self.bus = Bus(
             self.reactor,
             self.settings.control,
@@ -181,18 +201,22 @@
         )
 
     def handle_message(self, message):
-        """Hand a message of another host over."""
+        """Pass a message of another host to its handler."""
         if isinstance(message, CrashSuspectsMessage):
             self.state.crashes.take(message)
         else:
             self.membership.handle_message(message)
 
     def log_rejected_message(self, why):
-        """Put a dropped message on the time line."""
+        """Log a message that was dropped.
+
+        Args:
+            why: Reason of the rejection.
+        """
         self.timeline.note(EventKind.PEER_REFUSED, why=why)
 
     def start(self):
-        """Listen, and begin all periodic work."""
+        """Start listening and start all periodic work."""
         self.listen(self.settings.listen, self.callers)
         self.listen(
             self.settings.forward, self.forwarded, self.control, self.claims
@@ -216,29 +240,34 @@
         )
 
     def report_failure(self, reason):
-        """Write the trace of a handler that raised."""
+        """Log the traceback of a handler that raised.
+
+        Args:
+            reason: The `Failure`.
+        """
         log_failure(self.settings.host, reason)
 
     def repeat(self, interval, work):
-        """Call *work* every *interval* seconds, now first."""
+        """Call *work* now and then every *interval* seconds."""
         loop = task.LoopingCall(self.call_safely, work)
         loop.clock = self.reactor
         loop.start(interval).addErrback(self.report_failure)
         self.loops.append(loop)
 
     def call_safely(self, work):
-        """Call *work*; a failure must not end the periodic work.
+        """Call *work* and log an exception that it raises.
 
-        A loop that stops at its first failure leaves a host that serves
-        but sends no heartbeat and hears of no change.
+        A `LoopingCall` stops at the first exception. The host would go on
+        serving requests, but it would send no heartbeats and receive no
+        changes.
         """
         try:
             work()
-        except Exception:  # noqa: BLE001 - all are written to the log
+        except Exception:  # noqa: BLE001 - every exception is logged
             self.report_failure(Failure())
 
     def tick(self):
-        """Do the periodic work of a heartbeat interval."""
+        """Do the periodic work of one heartbeat interval."""
         self.host_follower.tick()
         self.config_follower.tick()
         self.membership.tick()
@@ -249,7 +278,7 @@
         self.publish()
 
     def log_trust_change(self):
-        """Put a change of the trust in the configuration on record."""
+        """Log a change of the level of trust in the configuration."""
         level = self.state.trust.level(self.reactor.seconds())
         if level is self.trust_level:
             return
@@ -260,7 +289,11 @@
         self.timeline.note(kind)
 
     def publish(self):
-        """Keep the directory entry current."""
+        """Renew the directory entry of this host when it is due.
+
+        A host that is shutting down or has no configuration is not
+        published.
+        """
         if self.drain.leaving or not self.state.keeper.generation:
             return
         now = self.reactor.seconds()
@@ -279,7 +312,7 @@
         work.addErrback(lambda reason: reason.trap(PlatformError))
 
     def measure_stall(self):
-        """Measure how late the loop calls back."""
+        """Measure the delay of the event loop and log a stall."""
         now = self.reactor.seconds()
         self.state.trust.wake(now)
         if self.next_stall_check is not NOTHING:
@@ -292,7 +325,10 @@
         self.next_stall_check = now + STALL_CHECK_INTERVAL_SECONDS
 
     def entry_hosts(self):
-        """Return the entry hosts that callers should use, best first."""
+        """Return the entry hosts that callers should use.
+
+        Hosts of this data centre come first, then those of this region.
+        """
         now = self.reactor.seconds()
         rows = [
             self.host_row(entry)
@@ -319,7 +355,7 @@
         return {"hosts": rows, "ttl_s": HOSTS_TTL_SECONDS}
 
     def host_row(self, entry):
-        """Return what callers read of one host."""
+        """Return the fields of one host that callers receive."""
         return {
             "host": entry.host,
             "region": entry.region,
@@ -328,7 +364,7 @@
         }
 
     def status(self):
-        """Return the `HostStatus`."""
+        """Return the `HostStatus` of this gateway."""
         now = self.reactor.seconds()
         return HostStatus(
             host=self.settings.host,
@@ -351,11 +387,12 @@
         )
 
     async def stop(self):
-        """Stop gracefully: no request in progress is cut.
+        """Shut down gracefully without aborting requests in progress.
 
-        First everyone is told, and the host goes on serving for as long
-        as callers may still hold its address; then it refuses what is
-        new and finishes what it has.
+        The host first announces the shutdown to the other hosts and
+        withdraws its directory entry. It continues to serve for
+        `drain_seconds`, since callers may still have its address cached.
+        Then it rejects new requests and waits for those in progress.
         """
         if self.drain.leaving:
             return
@@ -373,7 +410,7 @@
         self.timeline.note(EventKind.STOPPED)
 
     async def close(self):
-        """Close all sockets and end all periodic work."""
+        """Close all sockets and stop all periodic work."""
         for loop in self.loops:
             if loop.running:
                 loop.stop()
@@ -398,7 +435,7 @@
 
 
 def run(settings):
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until the process receives a stop signal."""
     import time
 
     from twisted.internet import reactor
--- a/src/hyssopspring/net/administration.py
+++ b/src/hyssopspring/net/administration.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators."""
+"""HTTP API for operators."""
 
 import hmac
 import re
@@ -20,23 +20,36 @@
 FILES_PATH = "/v1/files/"
 FILE_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9._-]{0,99}\.ya?ml$")
 VERDICT_TIMEOUT_SECONDS = 8.0
+"""Time for which a write waits for its verdict before the response reports it
+as pending."""
+
 IN_FORCE_TIMEOUT_SECONDS = 4.0
+"""Time from the start of a write for which the response waits until every
+gateway enforces the new generation."""
+
 POLL_INTERVAL_SECONDS = 0.05
+"""Pause between two checks while a write waits for its verdict or for the
+gateways."""
+
 MAX_WRITE_ATTEMPTS = 5
+"""Compare-and-swap attempts for one write of a file."""
 
 
 class FileReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of one write of a file.
+    """Result of one write or removal of a configuration file.
 
     Attributes:
-        file: Its name.
+        file: Name of the file.
         verdict: ``accepted``, ``refused`` or ``pending``.
-        generation: Generation in which it was decided.
-        line: Line to which a refusal points; 0 for the whole file.
-        reason: Why it was refused.
-        in_force: Hosts on which it is in force.
-        not_in_force: Hosts on which it is not, or that do not answer.
-        seconds: From the write until the last host had it in force.
+        generation: Generation of the accepted configuration in which the
+            verdict was reached.
+        line: Line that caused the refusal; 0 for the whole file.
+        reason: Reason of the refusal.
+        in_force: Hosts on which the generation is in force.
+        not_in_force: Hosts on which it is not in force, or that do not
+            respond.
+        seconds: Time from the start of the write until the generation
+            was in force on the last host, or until the wait timed out.
     """
 
     file: str
@@ -50,14 +63,14 @@
 
 
 class AdminApi:
-    """Serve operators.
+    """Serve the HTTP API for operators.
 
     Args:
-        acceptor: The `Acceptor`.
-        hosts: The `HostListClient`.
-        control_client: The `ControlClient`.
-        clock: The runtime's clock.
-        timeline: The `Timeline` of this process.
+        acceptor: `Acceptor` that evaluates the configuration files.
+        hosts: `HostListClient` that reads the host list.
+        control_client: `ControlClient` that queries the gateways.
+        clock: Clock of the event loop.
+        timeline: `Timeline`, the event log of this process.
         tokens: Bearer token by team.
     """
 
@@ -73,7 +86,7 @@
         self.tokens = tokens
 
     def add_routes(self, router):
-        """Add the paths for operators."""
+        """Register the routes of the API with *router*."""
         router.add("GET", "/openapi.json", self.show_openapi)
         router.add("GET", "/healthz", self.health)
         for method, path, handler in (
@@ -90,12 +103,18 @@
             router.add(method, path, self.require_token(handler))
 
     def require_token(self, handler):
-        """Let only operators with a token through to *handler*."""
+        """Return *handler* wrapped in the check of the bearer token.
+
+        The wrapper also answers a failure of the platform with status 503.
+        """
 
         async def authenticated(request):
             if not self.find_team(request):
                 respond_error(
-                    request, 401, "unknown_token", "no team has this token"
+                    request,
+                    401,
+                    "unknown_token",
+                    "bearer token is missing or belongs to no team",
                 )
                 return
             try:
@@ -105,14 +124,22 @@
                     request,
                     503,
                     "platform_unavailable",
-                    f"the platform does not answer: {error}",
+                    f"platform is unavailable: {error}",
                     headers=[("retry-after", "2")],
                 )
 
         return authenticated
 
     def find_team(self, request):
-        """Return the team of the request's token, or an empty string."""
+        """Return the team of the request's bearer token.
+
+        All tokens are compared, each in constant time, so that response
+        times reveal nothing about them.
+
+        Returns:
+            The name of the team, or an empty string if the token is
+            missing or unknown.
+        """
         scheme, _, token = header(request, "authorization").partition(" ")
         found = ""
         for team, expected_token in self.tokens.items():
@@ -121,15 +148,15 @@
         return found if scheme.lower() == "bearer" else ""
 
     def show_openapi(self, request):
-        """Answer with the description of this interface."""
+        """Respond with the OpenAPI description of this API."""
         respond_json(request, 200, OPENAPI)
 
     def health(self, request):
-        """Answer that the process runs."""
+        """Respond that the process is running."""
         respond_json(request, 200, {"status": "ok"})
 
     async def list_files(self, request):
-        """Answer with the state of all files."""
+        """Respond with the state of all configuration files."""
         stored = await self.acceptor.read()
         rows = [
             {"file": name, **state_row(state)}
@@ -142,11 +169,13 @@
         )
 
     async def show_file(self, request):
-        """Answer with one file and its state."""
+        """Respond with the content and the state of one file."""
         name = file_name(request)
         entry = await self.store.get(FOLDER_PREFIX + name)
         if entry is NOTHING:
-            respond_error(request, 404, "not_found", f"no file {name!r}")
+            respond_error(
+                request, 404, "not_found", f"file not found: {name!r}"
+            )
             return
         stored = await self.acceptor.read()
         state = stored.accepted.files.get(name)
@@ -158,30 +187,38 @@
         )
 
     async def put_file(self, request):
-        """Write a file and answer with its verdict."""
+        """Write a file and respond with its verdict."""
         name = file_name(request)
         if not FILE_NAME_PATTERN.match(name):
             respond_error(
                 request,
                 400,
                 "bad_name",
-                "a file name has lower-case letters, digits, dots, dashes "
-                "and ends in .yaml",
+                "file name must consist of lower-case letters, digits, "
+                "dots, dashes and underscores and end in .yaml or .yml",
             )
             return
         request.content.seek(0)
         await self.write(request, name, request.content.read())
 
     async def delete_file(self, request):
-        """Remove a file and answer with the verdict on that."""
+        """Remove a file and respond with the verdict on the removal."""
         await self.write(request, file_name(request), None)
 
     async def write(self, request, name, content):
-        """Write or remove a file, and wait until it is judged."""
+        """Write or remove a file and respond once it is evaluated.
+
+        Args:
+            request: The HTTP request.
+            name: Name of the file.
+            content: The new content, or `None` to remove the file.
+        """
         started_at = self.clock.seconds()
         revision = await self.store_file(name, content)
         if revision is NOTHING:
-            respond_error(request, 404, "not_found", f"no file {name!r}")
+            respond_error(
+                request, 404, "not_found", f"file not found: {name!r}"
+            )
             return
         self.acceptor.changed()
         report = await self.wait_verdict(name, revision)
@@ -193,14 +230,23 @@
         respond_json(request, status, report)
 
     async def store_file(self, name, content):
-        """Write a file into the folder.
+        """Write or remove a file in the configuration folder.
+
+        Each attempt is a compare-and-swap against the revision that was
+        read. If the result of a write is unknown, the file is read back;
+        equal content proves that the write took effect.
+
+        Args:
+            name: Name of the file.
+            content: The new content, or `None` to remove the file.
 
         Returns:
             The revision of the write, or `NOTHING` if there is no file
             to remove.
 
         Raises:
-            KeyValueError: The platform did not answer.
+            KeyValueError: The platform did not respond, or no attempt
+                was confirmed.
         """
         key = FOLDER_PREFIX + name
         for _ in range(MAX_WRITE_ATTEMPTS):
@@ -218,10 +264,21 @@
                 entry = await self.store.get(key)
                 if entry is not NOTHING and entry.value == content:
                     return entry.revision
-        raise KeyValueError("the file could not be written")
+        raise KeyValueError(
+            "configuration file was not written: all attempts failed"
+        )
 
     async def wait_verdict(self, name, revision):
-        """Return the `FileReport` once the write is judged."""
+        """Return the `FileReport` once the write is evaluated.
+
+        Args:
+            name: Name of the file.
+            revision: Revision of the write.
+
+        Returns:
+            The report; its verdict is ``pending`` if none was reached
+            within `VERDICT_TIMEOUT_SECONDS`.
+        """
         deadline = self.clock.seconds() + VERDICT_TIMEOUT_SECONDS
         while self.clock.seconds() < deadline:
             try:
@@ -237,11 +294,16 @@
             file=name,
             verdict=Verdict.PENDING,
             generation=0,
-            reason="not judged yet; ask for the file's state later",
+            reason="not evaluated yet; query the state of the file later",
         )
 
     async def wait_in_force(self, report, started_at):
-        """Return *report* with where it is in force."""
+        """Return *report* with the hosts on which it is in force.
+
+        Args:
+            report: `FileReport` of an accepted write.
+            started_at: Time at which the write started.
+        """
         deadline = started_at + IN_FORCE_TIMEOUT_SECONDS
         while True:
             statuses = await self.read_statuses()
@@ -261,7 +323,10 @@
             await task.deferLater(self.clock, POLL_INTERVAL_SECONDS)
 
     async def read_statuses(self):
-        """Return the `HostStatus` of each gateway by name."""
+        """Return the `HostStatus` of each gateway by host name.
+
+        The value is `NOTHING` for a gateway that does not respond.
+        """
         listed = await self.hosts.read()
         found = await gather(
             self.control_client.status(row.forward) for row in listed.gateways
@@ -270,7 +335,7 @@
         return dict(zip(names, found, strict=True))
 
     async def check_file(self, request):
-        """Judge a file as if it were written, without writing it."""
+        """Evaluate a file as if it were written, without writing it."""
         name = file_name(request)
         request.content.seek(0)
         text = request.content.read().decode("utf-8", "replace")
@@ -287,13 +352,18 @@
         evaluated = Judge(stored.accepted).judge(folder, revision)
         state = evaluated.verdicts.get(name)
         if state is None:
-            respond_error(request, 409, "busy", "a change is being judged")
+            respond_error(
+                request,
+                409,
+                "busy",
+                "another configuration change is being evaluated",
+            )
             return
         status = 200 if state.verdict is Verdict.ACCEPTED else 409
         respond_json(request, status, {"file": name, **state_row(state)})
 
     async def explain(self, request):
-        """Answer which file set which field, and which rule won."""
+        """Respond with the file and the merge rule that set each field."""
         selected = {
             (kind + "s", request.args[kind.encode()][0].decode())
             for kind in ("workspace", "model", "service")
@@ -319,22 +389,27 @@
         )
 
     async def show_status(self, request):
-        """Answer with the state of all gateways."""
+        """Respond with the state of all gateways."""
         statuses = await self.read_statuses()
         rows = [row for row in statuses.values() if row is not NOTHING]
         silent = [name for name, row in statuses.items() if row is NOTHING]
         respond_json(request, 200, {"hosts": rows, "silent": sorted(silent)})
 
     async def forget_data_centre(self, request):
-        """Take a data centre off that is gone for good."""
+        """Remove a data centre that has been shut down permanently."""
         name = file_name(request)
         if not await self.acceptor.forget_data_centre(name):
-            respond_error(request, 404, "not_found", f"no {name!r}")
+            respond_error(
+                request, 404, "not_found", f"data centre not found: {name!r}"
+            )
             return
         respond_json(request, 200, {"forgotten": name})
 
     async def show_timeline(self, request):
-        """Answer with the events of all processes in one order."""
+        """Respond with the events of all processes in one order.
+
+        Events are ordered by their hybrid logical time, then by host.
+        """
         request_id = request.args.get(b"request", [b""])[0].decode()
         listed = await self.hosts.read()
         found = await gather(
@@ -357,12 +432,12 @@
 
 
 def file_name(request):
-    """Return the last part of the request's path."""
+    """Return the last segment of the request's path."""
     return request.path.rsplit(b"/", 1)[1].decode("utf-8", "replace")
 
 
 def state_row(state):
-    """Return what operators read of a `FileState`."""
+    """Return the fields of a `FileState` that operators see."""
     return {
         "verdict": state.verdict,
         "generation": state.generation,
@@ -373,12 +448,15 @@
 
 
 def find_report(accepted, name, revision):
-    """Return the `FileReport` on a write, or `NOTHING` before it is judged.
+    """Return the `FileReport` of a write.
 
     Args:
-        accepted: The `Accepted` that is in force.
+        accepted: The stored `Accepted` configuration.
         name: Name of the file.
         revision: Revision of the write.
+
+    Returns:
+        The report, or `NOTHING` while the write is not evaluated.
     """
     state = accepted.files.get(name)
     is_evaluated = accepted.folder_revision >= revision
@@ -397,7 +475,7 @@
             file=name,
             verdict=Verdict.REFUSED,
             generation=state.generation,
-            reason="another operator wrote the file after you",
+            reason="another operator has written a newer version of the file",
         )
     return FileReport(
         file=name,
--- a/src/hyssopspring/net/bus.py
+++ b/src/hyssopspring/net/bus.py
@@ -1,4 +1,4 @@
-"""Control messages between hosts over ZeroMQ."""
+"""Publish-subscribe transport of control messages over ZeroMQ."""
 
 import zmq
 from twisted.internet.interfaces import IReadDescriptor
@@ -10,53 +10,70 @@
 from .messages import ENCODER, Signer, decode_message
 
 MAX_QUEUED_MESSAGES = 1000
+"""High-water mark of each socket, beyond which ZeroMQ drops messages."""
+
 MAX_MESSAGES_PER_READ = 200
+"""Messages handled before control returns to the event loop."""
+
 SUMMARY_TOPIC = b"s"
+"""Topic of data centre summaries."""
 
 
 def heartbeat_topic(data_centre):
-    """Return the topic of heartbeats within *data_centre*."""
+    """Return the topic of the heartbeats in *data_centre*."""
     return b"b:" + data_centre.encode()
 
 
 @implementer(IReadDescriptor)
 class _SocketDescriptor:
-    """Let the reactor watch the descriptor of a ZeroMQ socket."""
+    """Adapt the file descriptor of a ZeroMQ socket to the reactor.
+
+    Args:
+        socket: The ZeroMQ socket.
+        on_readable: Called when the socket may be readable.
+    """
 
     def __init__(self, socket, on_readable):
         self.socket = socket
         self.on_readable = on_readable
 
     def fileno(self):
-        """Return the descriptor."""
+        """Return the file descriptor of the socket."""
         return self.socket.fd
 
     def doRead(self):
-        """Read what there is."""
+        """Call the handler for a readable socket."""
         self.on_readable()
 
     def connectionLost(self, reason):
         """Do nothing; the bus closes its own sockets."""
 
     def logPrefix(self):
-        """Name the descriptor."""
+        """Return the prefix of this descriptor in the reactor's log."""
         return "bus"
 
 
 class Bus:
-    """Publish this host's messages, and hear those of others.
+    """Publish the messages of this host and receive those of others.
 
-    Messages may be lost, come late or come twice; each stands for
-    itself. Queues are bounded, so that a peer that does not read costs
-    lost messages and no memory.
+    Messages may be lost, delayed or duplicated, so each one is complete
+    in itself. Queues are bounded, so that a peer that does not read loses
+    messages instead of using memory on this host.
 
     Args:
         reactor: The reactor.
-        address: Own address as ``ip:port``.
+        address: Address of this host as ``ip:port``.
         secret: Secret that all hosts share.
-        received: Called with each message.
-        refused: Called with the reason when a message is dropped.
-        failed: Called with the failure of a handler that raised.
+        on_message: Called with each valid message.
+        on_rejected: Called with the reason when a message is dropped.
+        on_failure: Called with the `Failure` of a handler that raised.
+
+    Attributes:
+        peers: Control addresses of the connected peers, as keys.
+        scheduled_read: Pending call of `read_messages`, or `NOTHING`.
+        bytes_sent: Bytes published.
+        messages_sent: Messages published.
+        bytes_received: Bytes received, including dropped messages.
     """
 
     def __init__(
@@ -79,7 +96,11 @@
         self.bytes_received = 0
 
     def make_socket(self, kind):
-        """Return a socket with bounded queues."""
+        """Return a socket with bounded queues.
+
+        Args:
+            kind: ZeroMQ socket type.
+        """
         socket = self.context.socket(kind)
         socket.linger = 0
         socket.sndhwm = MAX_QUEUED_MESSAGES
@@ -87,7 +108,7 @@
         return socket
 
     def start(self):
-        """Listen, and let the reactor wait for messages."""
+        """Bind the publisher and register the subscriber's descriptor."""
         self.publisher.bind(f"tcp://{self.address}")
         self.descriptor = _SocketDescriptor(
             self.subscriber, self.read_messages
@@ -95,7 +116,7 @@
         self.reactor.addReader(self.descriptor)
 
     def stop(self):
-        """Close all sockets."""
+        """Close all sockets and cancel the scheduled read."""
         if self.descriptor is not NOTHING:
             self.reactor.removeReader(self.descriptor)
         if self.scheduled_read is not NOTHING and self.scheduled_read.active():
@@ -105,11 +126,11 @@
         self.context.term()
 
     def subscribe(self, topic):
-        """Hear messages of *topic* from the connected peers."""
+        """Receive messages of *topic* from the connected peers."""
         self.subscriber.subscribe(topic)
 
     def connect(self, peers):
-        """Connect to *peers*, and to no others.
+        """Connect to *peers* and disconnect from all others.
 
         Args:
             peers: Set of control addresses as ``ip:port``.
@@ -123,7 +144,11 @@
         self.schedule_read()
 
     def publish(self, topic, message):
-        """Send *message* to all who subscribed to *topic*."""
+        """Send *message* to all subscribers of *topic*.
+
+        Returns:
+            The size of the encoded message in bytes.
+        """
         payload = ENCODER.encode(message)
         frames = [topic, payload, self.signer.sign(topic, payload)]
         self.publisher.send_multipart(frames, zmq.NOBLOCK)
@@ -132,12 +157,13 @@
         return len(payload)
 
     def read_messages(self):
-        """Read messages until there are none.
+        """Read messages until the queue is empty.
 
-        The descriptor only signals the step from no message to some, so
-        a reader that stops early, also at a message that breaks its
-        handler, would never be woken for the rest. A
-        flood is read in slices, so that requests are served between.
+        The descriptor is edge-triggered: it signals only the transition
+        from an empty to a non-empty queue. A reader that stops early, for
+        example at a message whose handler raises, would not be called
+        again for the remaining messages. A burst of messages is read in
+        batches, so that requests are served in between.
         """
         for _ in range(MAX_MESSAGES_PER_READ):
             try:
@@ -146,21 +172,25 @@
                 return
             try:
                 self.handle_frames(frames)
-            except Exception:  # noqa: BLE001 - reported, and read on
+            except Exception:  # noqa: BLE001 - reported; reading continues
                 self.on_failure(Failure())
         self.schedule_read()
 
     def schedule_read(self):
-        """Read once more soon."""
+        """Schedule a read in the next iteration of the event loop."""
         if self.scheduled_read is not NOTHING and self.scheduled_read.active():
             return
         self.scheduled_read = self.reactor.callLater(0, self.read_messages)
 
     def handle_frames(self, frames):
-        """Check one message and hand it over."""
+        """Verify and decode one message and pass it to `on_message`.
+
+        Args:
+            frames: Topic, payload and signature.
+        """
         self.bytes_received += sum(len(frame) for frame in frames)
         if len(frames) != 3:
-            self.on_rejected("not three frames")
+            self.on_rejected("expected three frames")
             return
         topic, payload, signature = frames
         if not self.signer.verify(signature, topic, payload):
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -1,4 +1,4 @@
-"""Claims of keys: which host writes them, and what follows for a request."""
+"""Claims of idempotency keys: which host writes them, and their effect."""
 
 import contextlib
 import secrets
@@ -36,12 +36,27 @@
 
 CLAIM_PATH = "/claims"
 NONCE_BYTES = 8
+"""Size of the random nonce that identifies one claim."""
+
 CLAIM_TIMEOUT_SECONDS = 1.5
+"""Time limit of one claim, including the request to the owner."""
+
 OWNER_TIMEOUT_SECONDS = 0.6
+"""Time limit of a request to the owner of a shard, after which this host
+writes the record itself."""
+
 RELEASE_DELAY_SECONDS = 4.0
+"""Delay before a claim that timed out is released. By then every write that
+could carry the claim has been answered or is outdated."""
+
 FLEET_WRITES_PER_SECOND = 200.0
+"""Limit on claim writes of all shards together, divided among the shards."""
+
 WRITE_BURST = 2.0
+"""Writes of one shard that may follow each other without a pause."""
+
 RETRY_AFTER_SECONDS = 2.0
+"""Retry-After value while claims are unavailable."""
 
 REJECTIONS = {
     Verdict.IN_PROGRESS: Repeated(Reason.CLAIM_IN_PROGRESS),
@@ -54,14 +69,23 @@
 
 
 class ClaimRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A record that another host is asked to write."""
+    """Request to another host to write a record.
+
+    Attributes:
+        record: The `Record` to write.
+        within: Time limit in seconds.
+    """
 
     record: Record
     within: float
 
 
 class ClaimResponse(msgspec.Struct, frozen=True, array_like=True):
-    """The owner's word on a record."""
+    """Response of the owner to a `ClaimRequest`.
+
+    Attributes:
+        verdict: Value of the `Verdict` on the record.
+    """
 
     verdict: str
 
@@ -71,20 +95,25 @@
 
 
 class Claims:
-    """Claim keys before requests that must not be repeated run.
+    """Claim idempotency keys before non-repeatable requests run.
 
-    Each shard has one host that writes it, chosen by hashing over all
-    hosts that are known. That only saves lost races: two hosts that both
-    take themselves for the owner, or one that writes a shard itself as
-    the owner is silent, are kept apart by the compare-and-swap.
+    Each shard has one owner, the host that writes it, chosen by
+    rendezvous hashing over all usable hosts. Ownership only avoids lost
+    races and is not needed for correctness: if two hosts both act as the
+    owner, or a host writes a shard itself because the owner does not
+    respond, the compare-and-swap keeps their writes consistent.
 
     Args:
-        state: The `HostState`.
-        peers: The `PeerTable`.
-        store: The key-value client.
-        agent: Agent for asks to other hosts.
-        signer: The `Signer`.
+        state: `HostState` of this host.
+        peers: `PeerTable` of the other hosts.
+        store: Client of the key-value service.
+        agent: HTTP agent for requests to other hosts.
+        signer: `Signer` of these requests.
         wall: Callable that returns the wall clock in seconds.
+
+    Attributes:
+        logs: `ClaimLog` by shard.
+        health: `Health` of the key-value service, shared by all logs.
     """
 
     def __init__(self, state, peers, store, agent, signer, wall):
@@ -98,26 +127,30 @@
         self.health = Health()
 
     def tick(self):
-        """Look whether the service is back, once it was down."""
+        """Probe the key-value service while it is down."""
         if self.health.down:
             defer.ensureDeferred(self.probe())
 
     async def probe(self):
-        """Find out whether the service answers again."""
+        """Record the key-value service as healthy if it responds."""
         with contextlib.suppress(KeyValueError):
             await self.store.get(CLAIMS_PREFIX)
             self.health.succeed()
 
     def add_routes(self, router):
-        """Add the path for asks of other hosts."""
+        """Register the route for claim requests of other hosts."""
         router.add("POST", CLAIM_PATH, self.serve_claim)
 
     async def carry_out(self, request, run):
-        """Run the request, after its key is claimed if it needs that.
+        """Run the request after claiming its key, if it needs a claim.
 
         Args:
             request: The `Request`.
-            run: Coroutine function that carries it out.
+            run: Coroutine function that runs it.
+
+        Returns:
+            The outcome of *run*, or the rejection that follows from the
+            verdict on the claim.
         """
         if request.repeatable or request.key is NOTHING:
             return await run()
@@ -137,7 +170,13 @@
         return outcome
 
     def make_record(self, request, nonce, mark):
-        """Return the `Record` of a request's key."""
+        """Return the `Record` of a request's key.
+
+        Args:
+            request: The `Request`.
+            nonce: Random bytes that identify this claim.
+            mark: The `Mark` to write.
+        """
         remaining = request.deadline - self.state.clock.seconds()
         return Record(
             key_digest(request.workspace, request.key),
@@ -147,7 +186,11 @@
         )
 
     async def claim(self, record, request):
-        """Return the `Verdict` on a claim."""
+        """Write a claim and return the `Verdict` on it.
+
+        The owner of the shard writes it; this host does so if it is the
+        owner or if the owner does not respond.
+        """
         remaining = request.deadline - self.state.clock.seconds()
         within = min(CLAIM_TIMEOUT_SECONDS, remaining)
         owner = self.owner(shard_of(record.digest))
@@ -161,7 +204,11 @@
         return await self.submit(record, within)
 
     def owner(self, shard):
-        """Return the `PeerEntry` of a shard's owner; NOTHING for us."""
+        """Return the `PeerEntry` of a shard's owner.
+
+        Returns:
+            The entry, or `NOTHING` if this host is the owner.
+        """
         now = self.state.clock.seconds()
         hosts = [
             host for host in self.peers.entries if self.peers.usable(host, now)
@@ -172,12 +219,17 @@
         return self.peers.entries[first]
 
     def submit(self, record, within):
-        """Write a record by this host; return a deferred `Verdict`."""
+        """Write a record from this host and return a deferred `Verdict`.
+
+        Args:
+            record: The `Record` to write.
+            within: Seconds after which it is no longer written.
+        """
         claim_log = self.claim_log(shard_of(record.digest))
         return claim_log.submit(record, self.state.clock.seconds() + within)
 
     def claim_log(self, shard):
-        """Return the `ClaimLog` of a shard."""
+        """Return the `ClaimLog` of a shard, created on first use."""
         if shard not in self.logs:
             self.logs[shard] = ClaimLog(
                 self.store,
@@ -191,12 +243,17 @@
         return self.logs[shard]
 
     async def request_from_owner(self, owner, record, within):
-        """Have the owner write a record.
+        """Request the owner of a shard to write a record.
+
+        Args:
+            owner: `PeerEntry` of the owner.
+            record: The `Record` to write.
+            within: Time limit in seconds.
 
         Returns:
-            Its `Verdict`, or `NOTHING` if it does not answer. It may
-            have written the record all the same; written again with the
-            same nonce, the record means the same.
+            The owner's `Verdict`, or `NOTHING` if it does not respond.
+            The owner may have written the record nevertheless; writing
+            it again with the same nonce has no further effect.
         """
         body = msgspec.msgpack.encode(ClaimRequest(record, within))
         signature = self.signer.sign(CLAIM_PATH.encode(), body)
@@ -223,7 +280,7 @@
             return NOTHING
 
     async def serve_claim(self, http_request):
-        """Write a record for another host."""
+        """Write a record on behalf of another host."""
         http_request.content.seek(0)
         body = http_request.content.read()
         try:
@@ -233,14 +290,20 @@
         except (Base64Error, msgspec.DecodeError):
             is_valid = False
         if not is_valid:
-            respond_error(http_request, 403, "bad_signature", "bad ask")
+            respond_error(
+                http_request, 403, "bad_signature", "invalid claim request"
+            )
             return
         verdict = await self.submit(claim_request.record, claim_request.within)
         answer = msgspec.msgpack.encode(ClaimResponse(verdict.value))
         respond(http_request, 200, answer, content_type="application/msgpack")
 
     def record_outcome(self, record, outcome):
-        """Write down how the request with the key ended."""
+        """Write the outcome of a request to the claim log.
+
+        A request that may have run keeps its key; a request that was not
+        run releases it.
+        """
         mark = Mark.UNKNOWN
         if isinstance(outcome, Answered):
             mark = Mark.DONE
@@ -249,7 +312,11 @@
         defer.ensureDeferred(self.write_mark(record, mark))
 
     async def write_mark(self, record, mark):
-        """Write a mark by the owner, or by this host if it is silent."""
+        """Write a mark through the owner of the shard.
+
+        This host writes it if the owner does not respond or reports that
+        claims are unavailable.
+        """
         marked = msgspec.structs.replace(record, mark=mark)
         owner = self.owner(shard_of(record.digest))
         if owner is not NOTHING:
@@ -261,12 +328,13 @@
         await self.submit(marked, MARK_LIFE)
 
     def release_later(self, record, verdict):
-        """Free a key whose claim may yet be written after we gave up.
+        """Release a key whose claim may still be written after a timeout.
 
-        Its caller hears that the request was not run, and comes back
-        with the same key. A claim of ours that still arrives would hold
-        the key for good. By then every write that could carry it is
-        answered or outdated, so a release is the last word.
+        The caller receives a response that the request was not run and
+        retries with the same key. A claim of this host that is still
+        written later would block the key permanently. After
+        `RELEASE_DELAY_SECONDS` every write that could carry the claim has
+        been answered or is outdated, so the release is the final record.
         """
         if verdict is not Verdict.UNAVAILABLE:
             return
--- a/src/hyssopspring/net/control.py
+++ b/src/hyssopspring/net/control.py
@@ -1,4 +1,4 @@
-"""Signed pages that hosts and the administration ask each other for."""
+"""Signed control endpoints of gateways, and their client."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -15,28 +15,33 @@
 from .serving import header, respond, respond_error
 
 SIGNATURE_HEADER = "hyssop-signature"
+
 REQUEST_TIMEOUT_SECONDS = 1.0
+"""Time limit of one request to a control endpoint."""
+
 CONFIG_PATH = "/config"
 STATUS_PATH = "/status"
 EVENTS_PATH = "/events"
 CLIENT_FAILURES = (*NETWORK_FAILURES, ProtocolError)
+"""Errors after which a host counts as not responding."""
 
 
 class HostStatus(msgspec.Struct, frozen=True, kw_only=True):
     """State of one gateway.
 
     Attributes:
-        host: Its name.
-        region: Its region.
-        data_centre: Its data centre.
-        generation: Configuration that it enforces.
-        leaving: Whether it is being stopped.
+        host: Name of the gateway.
+        region: Region of the gateway.
+        data_centre: Data centre of the gateway.
+        generation: Configuration generation that it enforces.
+        leaving: Whether it is shutting down.
         active: Requests in progress.
-        live: Live hosts of its data centre, as it sees them.
-        servers: Load by backend server; -1 for one that is leaving.
-        centres: Age in seconds of each other data centre's summary.
-        stall_ms: Longest time that its loop stood still lately.
-        trust: ``full``, or ``home only`` if it is confined.
+        live: Hosts of its data centre that it considers live.
+        servers: Load by backend server; -1 for one that is draining.
+        centres: Age of the latest summary in seconds, by data centre.
+        stall_ms: Longest recent stall of its event loop in milliseconds.
+        trust: ``full``, or ``home only`` if it serves only the
+            workspaces whose home is its region.
     """
 
     host: str
@@ -53,13 +58,13 @@
 
 
 class ControlApi:
-    """Serve the signed pages of one gateway.
+    """Serve the signed control endpoints of one gateway.
 
     Args:
-        signer: The `Signer`.
-        keeper: The `GenerationKeeper`.
-        timeline: The `Timeline`.
-        status: Called for the `HostStatus`.
+        signer: `Signer` of requests and responses.
+        keeper: `GenerationKeeper` that has the configuration.
+        timeline: `Timeline`, the event log.
+        status: Callable that returns the `HostStatus`.
     """
 
     def __init__(self, signer, keeper, timeline, status):
@@ -69,25 +74,25 @@
         self.status = status
 
     def add_routes(self, router):
-        """Add the pages."""
+        """Register the routes of the endpoints with *router*."""
         router.add("GET", CONFIG_PATH, self.show_config)
         router.add("GET", STATUS_PATH, self.show_status)
         router.add("GET", EVENTS_PATH, self.show_events)
 
     def show_config(self, request):
-        """Answer with the accepted configuration."""
+        """Respond with the accepted configuration."""
         self.respond_signed(
             request, lambda: encode_accepted(self.keeper.accepted)
         )
 
     def show_status(self, request):
-        """Answer with the `HostStatus`."""
+        """Respond with the `HostStatus`."""
         self.respond_signed(
             request, lambda: msgspec.json.encode(self.status())
         )
 
     def show_events(self, request):
-        """Answer with the kept events."""
+        """Respond with the stored events, optionally of one request."""
         request_id = request.args.get(b"request", [b""])[0].decode()
         self.respond_signed(
             request,
@@ -97,13 +102,20 @@
         )
 
     def respond_signed(self, request, make_body):
-        """Answer a signed request with a signed body."""
+        """Respond to a signed request with a signed body.
+
+        A request without a valid signature is rejected.
+
+        Args:
+            request: The HTTP request.
+            make_body: Callable that returns the body.
+        """
         try:
             signature = b64decode(header(request, SIGNATURE_HEADER))
         except Base64Error:
             signature = b""
         if not self.signer.verify(signature, request.uri):
-            respond_error(request, 403, "bad_signature", "bad signature")
+            respond_error(request, 403, "bad_signature", "invalid signature")
             return
         body = make_body()
         signed = b64encode(self.signer.sign(request.uri, body)).decode()
@@ -117,12 +129,12 @@
 
 
 class ControlClient:
-    """Read the signed pages of other hosts.
+    """Query the signed control endpoints of other hosts.
 
     Args:
-        agent: The agent to use.
-        clock: The runtime's clock.
-        signer: The `Signer`.
+        agent: HTTP agent to use.
+        clock: Clock of the event loop.
+        signer: `Signer` of requests and responses.
     """
 
     def __init__(self, agent, clock, signer):
@@ -131,19 +143,25 @@
         self.signer = signer
 
     async def config(self, address):
-        """Return the `Accepted` that the host holds, or `NOTHING`."""
+        """Return the `Accepted` of a host, or `NOTHING`."""
         body = await self.fetch(address, CONFIG_PATH)
         return body if body is NOTHING else decode_accepted(body)
 
     async def status(self, address):
-        """Return the `HostStatus` of the host, or `NOTHING`."""
+        """Return the `HostStatus` of a host, or `NOTHING`."""
         body = await self.fetch(address, STATUS_PATH)
         if body is NOTHING:
             return NOTHING
         return msgspec.json.decode(body, type=HostStatus)
 
     async def events(self, address, request=""):
-        """Return the events that the host keeps, or `NOTHING`."""
+        """Return the events that a host has stored, or `NOTHING`.
+
+        Args:
+            address: Address of the host for forwarded requests.
+            request: Identifier of a request to which the events are
+                limited, or an empty string for all.
+        """
         path = f"{EVENTS_PATH}?request={request}" if request else EVENTS_PATH
         body = await self.fetch(address, path)
         if body is NOTHING:
@@ -151,7 +169,7 @@
         return msgspec.json.decode(body, type=list[Event])
 
     async def fetch(self, address, path):
-        """Return the body of a page, or `NOTHING` if there is no answer.
+        """Return the body of a response, or `NOTHING` if there is none.
 
         Args:
             address: Address of the host for forwarded requests.
@@ -165,7 +183,19 @@
             return NOTHING
 
     async def send_request(self, address, path):
-        """Send one signed request and check the signed answer."""
+        """Send one signed request and verify the signed response.
+
+        Args:
+            address: Address of the host for forwarded requests.
+            path: Encoded path and query of the URL.
+
+        Returns:
+            The body of the response.
+
+        Raises:
+            ProtocolError: The status is not 200, or the signature is
+                invalid.
+        """
         signature = b64encode(self.signer.sign(path))
         response = await self.agent.request(
             b"GET",
@@ -181,7 +211,11 @@
         except Base64Error:
             signed = b""
         if response.code != 200:
-            raise ProtocolError(f"{address} answered {response.code}")
+            raise ProtocolError(
+                f"{address} responded with status {response.code}"
+            )
         if not self.signer.verify(signed, path, body):
-            raise ProtocolError(f"bad signature of {address}")
+            raise ProtocolError(
+                f"response of {address} has an invalid signature"
+            )
         return body
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces over all hosts: the gate and the ledgers."""
+"""Workspace limits over all hosts: admission and the share ledgers."""
 
 from twisted.internet import defer
 from twisted.python.failure import Failure
@@ -25,12 +25,30 @@
 
 SHARES_PREFIX = "/hyssop/shares/"
 FLEET_WRITES_PER_SECOND = 100.0
+"""Limit on ledger writes of all hosts together, divided among the hosts."""
+
 WRITE_BURST = LEDGERS
+"""Ledger writes of one host that may follow each other without a pause; one
+for each ledger."""
+
 MIN_UPDATE_INTERVAL_SECONDS = 1.0
+"""Shortest interval between two requests for a larger share after a rejection,
+for each workspace."""
+
 MIN_RELATIVE_CHANGE = 0.2
+"""Change in demand, relative to the current share, from which the share is
+updated."""
+
 RENEW_BEFORE_EXPIRY_SECONDS = 3600.0
+"""Remaining time below which a share is renewed."""
+
 TICK_INTERVAL_SECONDS = 1.0
+"""Interval between two calls of `WorkspaceLimiter.tick`, over which demand is
+measured."""
+
 MAX_WRITE_ATTEMPTS = 4
+"""Compare-and-swap attempts for one update of a ledger."""
+
 REASON_BY_LIMIT = {
     "concurrent": Reason.CONCURRENCY_LIMIT,
     "requests_per_second": Reason.RATE_LIMIT,
@@ -38,14 +56,20 @@
 
 
 class WorkspaceLimiter:
-    """Admit requests within this host's share of their limits.
+    """Admit requests within this host's share of each workspace's limits.
 
     Args:
-        state: The `HostState`.
-        peers: The `PeerTable`.
-        store: The key-value client.
+        state: `HostState` of this host.
+        peers: `PeerTable` of the other hosts.
+        store: Client of the key-value service.
         wall: Callable that returns the wall clock in seconds.
-        failed: Called with the failure of work in the background.
+        on_failure: Called with the failure of a background update.
+
+    Attributes:
+        usages: `Usage` by workspace.
+        waiting_by_ledger: Deferreds that wait for an update in progress,
+            by ledger number.
+        pacer: `Pacer` that limits the ledger writes of this host.
     """
 
     def __init__(self, state, peers, store, wall, *, on_failure):
@@ -59,11 +83,14 @@
         self.pacer = Pacer(FLEET_WRITES_PER_SECOND, WRITE_BURST)
 
     async def carry_out(self, request, run):
-        """Run the request if its workspace's limits allow it.
+        """Run the request if the limits of its workspace permit it.
 
         Args:
             request: The `Request`.
-            run: Coroutine function that carries it out.
+            run: Coroutine function that runs it.
+
+        Returns:
+            The outcome of *run*, or `NotRun` with the limit as reason.
         """
         limits = self.limits(request.workspace)
         if limits is NOTHING:
@@ -79,7 +106,7 @@
             usage.active -= 1
 
     def limits(self, workspace):
-        """Return the `Limits` of a workspace, or `NOTHING` for none."""
+        """Return the `Limits` of a workspace, or `NOTHING` if it has none."""
         rights = self.state.keeper.enforced.workspaces.get(workspace)
         if rights is None:
             return NOTHING
@@ -89,7 +116,22 @@
         return limits
 
     async def admit(self, workspace, usage, limits):
-        """Take from the share; ask for a larger one first if it is due."""
+        """Admit one request within this host's share of the limits.
+
+        If the share is exhausted, the ledger is updated and admission is
+        tried again. That happens at most once per
+        `MIN_UPDATE_INTERVAL_SECONDS`, unless an update of the ledger is
+        already in progress.
+
+        Args:
+            workspace: Name of the workspace.
+            usage: Its `Usage`.
+            limits: Its `Limits`.
+
+        Returns:
+            `NOTHING` if the request is admitted, else the name of the
+            limit.
+        """
         now = self.state.clock.seconds()
         ledger_number = ledger_of(workspace)
         refused = usage.take(limits, now, self.wall())
@@ -103,7 +145,7 @@
         return usage.take(limits, self.state.clock.seconds(), self.wall())
 
     def tick(self):
-        """Adapt shares to demand; called once a second."""
+        """Adapt the shares to demand; called once per second."""
         hosts = len(self.peers.entries) + 1
         self.pacer.rate = FLEET_WRITES_PER_SECOND / hosts
         for usage in self.usages.values():
@@ -120,7 +162,10 @@
             defer.ensureDeferred(self.update_ledger(ledger_number))
 
     def is_due(self, workspace, usage):
-        """Whether a holding should change by much, or be renewed."""
+        """Whether a share is due for renewal or differs much from demand.
+
+        Differences of up to 0.5 % of the whole limit are ignored.
+        """
         limits = self.limits(workspace)
         wanted = 0
         if limits is not NOTHING:
@@ -136,10 +181,11 @@
         )
 
     def min_units(self, workspace):
-        """Return the units that a host of the home region keeps.
+        """Return the minimum units that a host of the home region keeps.
 
-        Without them a home region that is cut off could not serve its
-        own callers until it reaches the platform again.
+        Without a minimum, a home region that is partitioned from the
+        platform could not serve its own callers until the connection is
+        restored.
         """
         rights = self.state.keeper.enforced.workspaces.get(workspace)
         if rights is None or rights.home != self.state.region:
@@ -152,9 +198,10 @@
         return int(WHOLE * HOME_FLOOR / at_home)
 
     def update_ledger(self, ledger_number):
-        """Bring one ledger up to date; return a deferred.
+        """Update one ledger and return a deferred.
 
-        Those who ask while the work is going on share its result.
+        Callers that request an update while one is in progress wait for
+        that one.
         """
         if ledger_number in self.waiting_by_ledger:
             waiting = defer.Deferred()
@@ -165,7 +212,12 @@
         return work.addBoth(self.on_ledger_updated, ledger_number)
 
     def on_ledger_updated(self, result, ledger_number):
-        """Wake all who waited for the same ledger."""
+        """Resume all callers that wait for the update of a ledger.
+
+        Returns:
+            The result of the update, or `None` after a failure, which is
+            reported to `on_failure`.
+        """
         if isinstance(result, Failure):
             self.on_failure(result)
             result = None
@@ -174,7 +226,11 @@
         return result
 
     async def write_ledger(self, ledger_number):
-        """Write what this host wants, and use what it got."""
+        """Write this host's demand and use the share that it receives.
+
+        The update ends without effect if the rate of writes is exceeded
+        or the key-value service fails; the next tick repeats it.
+        """
         for _ in range(MAX_WRITE_ATTEMPTS):
             if not self.pacer.take(self.state.clock.seconds()):
                 return
@@ -185,10 +241,16 @@
                 return
 
     async def try_write(self, ledger_number):
-        """Make one try; return whether no further one is needed.
+        """Make one attempt to write a ledger.
+
+        A share that shrinks is reduced on this host before the write, and
+        stays reduced if the write fails. A share that grows is used only
+        after the write is confirmed. Thus the shares in use never exceed
+        the limit.
 
-        What shrinks is used less before it is written, and stays so if
-        the write fails. What grows is used only after the write.
+        Returns:
+            Whether the ledger is up to date, so that no further attempt
+            is needed.
         """
         key = f"{SHARES_PREFIX}{ledger_number}"
         entry = await self.store.get(key)
@@ -220,7 +282,7 @@
         return True
 
     def own_demands(self, ledger_number):
-        """Return the `Want` by workspace for one ledger."""
+        """Return this host's `Want` by workspace for one ledger."""
         return {
             workspace: self.own_demand(workspace, usage)
             for workspace, usage in self.usages.items()
@@ -228,7 +290,12 @@
         }
 
     def own_holdings(self, ledger_number, ledger):
-        """Return this host's `Holding` by workspace in one ledger."""
+        """Return this host's `Holding` by workspace in one ledger.
+
+        Args:
+            ledger_number: Number of the ledger.
+            ledger: The `Ledger`.
+        """
         return {
             workspace: ledger.holdings[workspace].get(
                 self.state.host, NO_HOLDING
@@ -238,7 +305,7 @@
         }
 
     def own_demand(self, workspace, usage):
-        """Return the `Want` of this host for a workspace."""
+        """Return this host's `Want` for a workspace."""
         limits = self.limits(workspace)
         if limits is NOTHING:
             return Want()
--- a/src/hyssopspring/net/membership.py
+++ b/src/hyssopspring/net/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, load reports and summaries, in and out."""
+"""Exchange of heartbeats, load reports and data centre summaries."""
 
 import msgspec
 from twisted.internet import defer
@@ -22,25 +22,43 @@
 )
 
 MAX_REPORT_AGE_SECONDS = 1.5
+"""Age of a backend server's last load report from which the server is
+polled."""
+
 POLL_TIMEOUT_SECONDS = 1.0
+"""Time limit of one load poll."""
+
 SUMMARY_BYTES_PER_SECOND = 1000
+"""Limit on what this host sends in summaries to all receivers together."""
+
 MIN_SUMMARY_INTERVAL_SECONDS = 1.0
+"""Shortest interval between two summaries."""
+
 MAX_ANNOUNCED_INTERVAL_SECONDS = 5.0
+"""Longest summary interval with which a new configuration triggers a summary
+at once. A longer interval means that a summary costs too many bytes."""
 
 
 class Membership:
     """Exchange control messages with the other hosts.
 
     Args:
-        state: The `HostState`.
-        peers: The `PeerTable`.
-        bus: The `Bus`.
-        agent: Agent for load polls.
-        drain: The `Drain`.
-        incarnation: Changes each time that the process starts.
-        forward_address: Own address for forwarded requests.
-        newer: Called with host name and generation when a peer has a
-            newer configuration.
+        state: `HostState` of this host.
+        peers: `PeerTable` of the other hosts.
+        bus: `Bus` that sends the messages.
+        agent: HTTP agent for load polls.
+        drain: `Drain` that tracks the shutdown of this host.
+        incarnation: Identifier that changes with each start of the
+            process.
+        forward_address: Address of this host for forwarded requests.
+        on_newer_generation: Called with host name and generation when a
+            peer has a newer configuration.
+
+    Attributes:
+        sequence: Number of the last message sent.
+        summary_due: Time at which the next summary is due.
+        summary_interval: Current interval between summaries in seconds.
+        polls: Count of load polls sent.
     """
 
     def __init__(
@@ -69,12 +87,12 @@
         self.polls = 0
 
     def start(self):
-        """Subscribe to what this host needs to hear."""
+        """Subscribe to the topics that this host needs."""
         self.bus.subscribe(heartbeat_topic(self.state.data_centre))
         self.bus.subscribe(SUMMARY_TOPIC)
 
     def tick(self):
-        """Do what is due; called once a heartbeat interval."""
+        """Do the periodic work; called once per heartbeat interval."""
         self.bus.connect(self.peers.control_addresses())
         self.send_heartbeat()
         now = self.state.clock.seconds()
@@ -83,17 +101,18 @@
         return self.poll_servers(now)
 
     def announce(self):
-        """Tell the others at once of a new configuration.
+        """Announce a new configuration to the other hosts immediately.
 
-        Other data centres have watchers of their own, so a summary ahead
-        of its time is sent only where it costs little.
+        Other data centres have hosts of their own that watch the
+        platform, so a summary is sent ahead of schedule only while
+        summaries are frequent and therefore cheap.
         """
         if self.summary_interval <= MAX_ANNOUNCED_INTERVAL_SECONDS:
             self.summary_due = 0.0
         self.send_heartbeat()
 
     def send_heartbeat(self):
-        """Tell the hosts of this data centre how things stand."""
+        """Send the state of this host to its data centre."""
         now = self.state.clock.seconds()
         millis, counter = self.state.timeline.clock.tick()
         self.sequence += 1
@@ -117,7 +136,11 @@
         self.bus.publish(heartbeat_topic(self.state.data_centre), message)
 
     def recent_reports(self, now):
-        """Return the reports of the last interval, to pass them on."""
+        """Return the load reports to pass on in the next heartbeat.
+
+        These are the reports of the last heartbeat interval on the
+        servers that this host polls.
+        """
         loads = []
         for name, server in self.state.table.servers.items():
             report = server.report
@@ -139,11 +162,11 @@
         return loads
 
     def send_summary(self, now):
-        """Tell the other data centres what is spare here.
+        """Send the spare capacity of this data centre to the others.
 
-        The more hosts listen, the rarer the summaries: what this host
-        sends stays within a fixed number of bytes a second. Fresher news
-        rides on each answer to a forwarded request.
+        The interval grows with the number of receivers, so that this host
+        sends at most `SUMMARY_BYTES_PER_SECOND`. More recent loads are
+        included in each response to a forwarded request.
         """
         listeners = sum(
             1 for host in self.peers.entries if not self.peers.is_local(host)
@@ -172,7 +195,7 @@
         self.summary_due = now + interval - HEARTBEAT_EVERY / 2
 
     def local_gateways(self, now):
-        """Return where other data centres can forward requests to."""
+        """Return the addresses to which others can forward requests."""
         addresses = [
             entry.forward
             for host, entry in self.peers.entries.items()
@@ -183,7 +206,7 @@
         return sorted(addresses)
 
     def handle_message(self, message):
-        """Take in a message of another host."""
+        """Handle a heartbeat or a summary of another host."""
         now = self.state.clock.seconds()
         self.state.timeline.clock.witness(message.millis, message.counter)
         if not self.peers.hear(message, now):
@@ -200,16 +223,17 @@
             self.handle_heartbeat(message, now)
 
     def record_platform_contact(self, message, now):
-        """Note a neighbour's word that it has just read the platform.
+        """Record that a neighbour has just read the platform.
 
-        A message of a newer configuration proves nothing until that is
-        fetched, since it may withdraw a right.
+        It is not called for a message with a newer generation. Such a
+        message proves nothing until that configuration is fetched, since
+        it may withdraw a right.
         """
         if isinstance(message, Heartbeat) and message.contact:
             self.state.trust.hear_neighbour(now)
 
     def handle_heartbeat(self, message, now):
-        """Take over the loads that a host of this data centre took."""
+        """Apply the load reports that a host of this data centre sent."""
         for load in message.servers:
             name = self.state.table.names.get(load.server)
             if name is not None:
@@ -221,7 +245,7 @@
                 self.state.table.mark_leaving(name)
 
     def apply_load_report(self, name, report):
-        """Take over one load report."""
+        """Apply one load report of a backend server."""
         server = self.state.table.servers.get(name)
         if server is None:
             return
@@ -231,13 +255,13 @@
             self.log_draining_server(name, self.state.host)
 
     def log_draining_server(self, name, source):
-        """Put a server's leave on the time line."""
+        """Log that a backend server is draining."""
         self.state.timeline.note(
             EventKind.SERVER_LEAVING, server=name, source=source
         )
 
     def poll_servers(self, now):
-        """Ask the servers that this host polls and has no news of."""
+        """Poll the servers of this host that lack a recent load report."""
         polls_in_progress = []
         for name, server in list(self.state.table.servers.items()):
             report = server.report
@@ -253,7 +277,10 @@
         return defer.DeferredList(polls_in_progress)
 
     async def poll(self, name, server):
-        """Ask one server for its load."""
+        """Poll one server for its load.
+
+        A poll that fails is dropped; the next interval repeats it.
+        """
         self.polls += 1
         try:
             status, body = await fetch(
@@ -290,7 +317,7 @@
 
 
 def centre_summary(message, now):
-    """Return the `CentreSummary` of a message that came at *now*."""
+    """Return the `CentreSummary` of a message received at *now*."""
     return CentreSummary(
         region=message.region,
         data_centre=message.data_centre,
--- a/src/hyssopspring/net/messages.py
+++ b/src/hyssopspring/net/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between hosts, and their signatures."""
+"""Message types exchanged between hosts, and their signatures."""
 
 import hashlib
 import hmac
@@ -9,14 +9,26 @@
 from ..entry.messages import SuspectRow
 
 FORMAT_VERSION = 1
+"""Version of the message format; messages of other versions are rejected."""
+
 MAC_BYTES = 16
+"""Size of a signature."""
 
 
 class ServerLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A load report that one host took and passes on.
+    """A load report that one host polled and passes on.
+
+    Server name and incarnation are `short_id` hashes; in full they would
+    make up two thirds of the heartbeat.
 
-    Name and incarnation are `short_id` hashes: in full they would be two
-    thirds of the heartbeat.
+    Attributes:
+        server: Hash of the server's name.
+        incarnation: Hash of the server's incarnation.
+        sequence: Number of the report within the incarnation.
+        running: Requests in progress.
+        waiting: Requests in the server's queue.
+        slots: Requests that the server runs at the same time.
+        leaving: Whether the server is draining.
     """
 
     server: int
@@ -29,7 +41,15 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Slots, load and shortest wait in seconds of one target."""
+    """Capacity and load of one target in a data centre.
+
+    Attributes:
+        kind: Kind of the target.
+        name: Name of the target.
+        slots: Slots of all servers of the target.
+        load: Load of these servers.
+        wait: Shortest expected wait in seconds.
+    """
 
     kind: str
     name: str
@@ -41,21 +61,25 @@
 class Heartbeat(
     msgspec.Struct, frozen=True, tag="beat", kw_only=True, omit_defaults=True
 ):
-    """What a host tells the others of its data centre.
+    """Periodic message of a host to the other hosts of its data centre.
 
     Attributes:
         version: Version of the message format.
         host: Name of the sender.
-        data_centre: Its data centre.
-        incarnation: Changes each time that the process starts.
-        sequence: Grows with each message of one incarnation.
-        millis: Hybrid logical time, wall-clock part.
-        counter: Hybrid logical time, other part.
-        generation: Configuration in force there.
-        leaving: Whether the host takes no new work.
-        contact: Whether the host has just read the platform.
-        servers: Load of the backend servers that it polls.
-        departing: Backend servers that it has evidence of leaving.
+        data_centre: Data centre of the sender.
+        incarnation: Identifier that changes with each start of the
+            sender's process.
+        sequence: Number that increases with each message of one
+            incarnation.
+        millis: Wall-clock part of the hybrid logical time.
+        counter: Logical part of the hybrid logical time.
+        generation: Configuration generation in force on the sender.
+        leaving: Whether the sender is shutting down and accepts no new
+            work.
+        contact: Whether the sender has just read the platform.
+        servers: Load of the backend servers that the sender polls.
+        departing: Backend servers that the sender has found to be
+            draining.
     """
 
     version: int = FORMAT_VERSION
@@ -75,20 +99,23 @@
 class DataCentreSummaryMessage(
     msgspec.Struct, frozen=True, tag="sum", kw_only=True, omit_defaults=True
 ):
-    """What a data centre tells the others.
+    """Summary of a data centre for the other data centres.
 
     Attributes:
         version: Version of the message format.
         host: Name of the sender.
-        region: Its region.
-        data_centre: Its data centre.
-        incarnation: Changes each time that the sender starts.
-        sequence: Grows with each message of one incarnation.
-        millis: Hybrid logical time, wall-clock part.
-        counter: Hybrid logical time, other part.
-        generation: Configuration in force there.
+        region: Region of the sender.
+        data_centre: Data centre of the sender.
+        incarnation: Identifier that changes with each start of the
+            sender's process.
+        sequence: Number that increases with each message of one
+            incarnation.
+        millis: Wall-clock part of the hybrid logical time.
+        counter: Logical part of the hybrid logical time.
+        generation: Configuration generation in force on the sender.
         every: Seconds until the next summary.
-        listeners: Hosts that share what is spare.
+        listeners: Number of hosts in other data centres that receive the
+            summary and share the spare capacity.
         gateways: Addresses for forwarded requests.
         targets: `TargetLoad` of each target.
     """
@@ -111,12 +138,12 @@
 class CrashSuspectsMessage(
     msgspec.Struct, frozen=True, tag="crash", kw_only=True, omit_defaults=True
 ):
-    """What a host knows of calls under which backend servers ended.
+    """Requests that a host suspects of crashing backend servers.
 
     Attributes:
         version: Version of the message format.
         host: Name of the sender.
-        rows: `SuspectRow` of each call.
+        rows: `SuspectRow` of each request.
     """
 
     version: int = FORMAT_VERSION
@@ -125,26 +152,26 @@
 
 
 class ForwardedRequestHead(msgspec.Struct, frozen=True, kw_only=True):
-    """What goes with a forwarded request.
+    """Metadata that is sent with a forwarded request.
 
     Attributes:
         id: Identifier of the request.
         attempt: Number of the attempt.
-        path: Hosts that it passed.
+        path: Hosts that have forwarded the request.
         workspace: Workspace of the caller.
         kind: Kind of the target.
         target: Name of the target.
-        residency: Regions in which it may be served.
-        home: Home region.
+        residency: Regions in which the request may be served.
+        home: Home region of the workspace.
         remaining: Seconds until the deadline.
-        priority: Urgency.
-        repeatable: Whether it may run twice.
+        priority: Priority of the request.
+        repeatable: Whether the request may run twice.
         key: Idempotency key or an empty string.
-        prefix: Hash of the prompt's start.
-        stream: Whether the answer is wanted in parts.
-        generation: Configuration by which the sender decided.
+        prefix: Hash of the start of the prompt.
+        stream: Whether the response is to be streamed.
+        generation: Configuration generation that the sender applied.
         method: HTTP method for the backend server.
-        resource: Path for the backend server.
+        resource: URL path for the backend server.
     """
 
     id: str
@@ -174,17 +201,21 @@
 
 
 class Signer:
-    """Sign and check what hosts send each other.
+    """Sign and verify the messages between hosts.
 
     Args:
-        secret: Secret that all hosts share, as text.
+        secret: Text of the secret that all hosts share.
     """
 
     def __init__(self, secret):
         self.key = hashlib.blake2b(secret.encode(), digest_size=32).digest()
 
     def sign(self, *parts):
-        """Return the signature over *parts*."""
+        """Return the signature over *parts*.
+
+        Each part is preceded by its length, so that the same bytes divided
+        differently have another signature.
+        """
         digest = hashlib.blake2b(key=self.key, digest_size=MAC_BYTES)
         for part in parts:
             digest.update(len(part).to_bytes(8, "big"))
@@ -192,39 +223,40 @@
         return digest.digest()
 
     def verify(self, signature, *parts):
-        """Whether *signature* was made over *parts* with our secret."""
+        """Whether *signature* is valid for *parts* and the shared secret."""
         return hmac.compare_digest(signature, self.sign(*parts))
 
 
 def decode_message(data):
-    """Return the message that *data* stands for.
+    """Return the message encoded in *data*.
 
     Raises:
-        ProtocolError: It is none, or of another version.
+        ProtocolError: The data is not a valid message, or the message is
+            of another version.
     """
     return _checked(MESSAGE_DECODER, data)
 
 
 def decode_head(data):
-    """Return the `ForwardedRequestHead` that *data* stands for.
+    """Return the `ForwardedRequestHead` encoded in *data*.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: The data is not a valid head.
     """
     try:
         return HEAD_DECODER.decode(data)
     except msgspec.DecodeError as error:
         raise ProtocolError(
-            f"bad head of a forwarded request: {error}"
+            f"invalid head of a forwarded request: {error}"
         ) from None
 
 
 def _checked(decoder, data):
-    """Decode and check the version."""
+    """Decode a message and check its version."""
     try:
         message = decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise ProtocolError(f"bad message: {error}") from None
+        raise ProtocolError(f"invalid message: {error}") from None
     if message.version != FORMAT_VERSION:
-        raise ProtocolError(f"message of version {message.version}")
+        raise ProtocolError(f"unsupported message version {message.version}")
     return message
--- a/src/hyssopspring/settings.py
+++ b/src/hyssopspring/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from a YAML file and checked."""
+"""Settings of a process: loading from a YAML file and validation."""
 
 import ipaddress
 import sys
@@ -7,19 +7,19 @@
 import msgspec
 import yaml
 
-from .core.addresses import split_address  # noqa: F401 - used by others
+from .core.addresses import split_address  # noqa: F401 - re-exported
 from .core.exceptions import EXIT_BAD_SETTINGS, SettingsError
 
 
 class PeerSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Another host of the system, known from the start.
+    """Another host of the system, configured as a seed.
 
     Attributes:
-        host: Its name.
-        region: Its region.
-        data_centre: Its data centre.
-        forward: Its address for forwarded requests.
-        control: Its address for control messages.
+        host: Name of the host.
+        region: Region of the host.
+        data_centre: Data centre of the host.
+        forward: Address of the host for forwarded requests.
+        control: Address of the host for control messages.
     """
 
     host: str
@@ -32,18 +32,18 @@
 class ProcessSettings(
     msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True
 ):
-    """What every process needs to know.
+    """Settings that all processes have in common.
 
     Attributes:
         host: Name of the host, unique over all data centres.
         region: Region of the host.
         data_centre: Data centre of the host.
-        regions: Every region there is.
+        regions: Names of all regions.
         platform: Address of the platform's key-value service.
         host_list: Address of the platform's host list and directory.
-        statsd: Address of the metrics collector, or an empty string.
-        log: Least level of log lines on standard error.
         peer_secret: Secret that all hosts share.
+        statsd: Address of the statsd server, or an empty string.
+        log: Minimum level of log lines on standard error.
     """
 
     host: str
@@ -64,11 +64,14 @@
         listen: Address for callers.
         forward: Address for requests that other hosts forward.
         control: Address for control messages of other hosts.
-        peers: Hosts known from the start, for a start without platform.
-        policy: Choice among the servers of the data centre.
-        drain_seconds: Time to go on serving after a stop was asked for.
-        trusted_callers: Whether a header may name the workspace in
-            place of a key; only for closed networks and tests.
+        peers: Seed hosts, with which the gateway can start while the
+            platform is unavailable.
+        policy: Name of the policy that selects a backend server in the
+            data centre.
+        drain_seconds: Time for which the gateway continues to serve after
+            a stop signal.
+        trusted_callers: Whether a header may name the workspace in place
+            of a key; only for closed networks and tests.
     """
 
     listen: str
@@ -86,8 +89,8 @@
     Attributes:
         listen: Address for operators.
         tokens: Bearer token by team, at least one.
-        gateways: Control pages of the gateways to ask for their state,
-            by host name.
+        gateways: Addresses of the gateways' control endpoints for status
+            queries, by host name.
     """
 
     listen: str
@@ -96,26 +99,36 @@
 
 
 def load_settings(path, schema):
-    """Read and check a settings file.
+    """Load and validate a settings file.
 
     Args:
         path: Path of the YAML file.
-        schema: `GatewaySettings`, `AdminSettings` or alike.
+        schema: Settings class, such as `GatewaySettings`.
 
     Raises:
-        SettingsError: The file is wrong; one line says where and why.
+        SettingsError: The file cannot be read or is invalid. The message
+            is a single line with the place and the reason.
     """
     try:
         with open(path, encoding="utf-8") as file:
             values = yaml.safe_load(file)
     except (OSError, yaml.YAMLError) as error:
         line = " ".join(str(error).split())
-        raise SettingsError(f"{path}: cannot be read: {line}") from None
+        raise SettingsError(f"{path}: cannot read settings: {line}") from None
     return check_settings(path, values, schema)
 
 
 def check_settings(path, values, schema):
-    """Check *values* against *schema* and return the settings."""
+    """Validate *values* and return them as settings.
+
+    Args:
+        path: Path of the settings file, for error messages.
+        values: Content of the file.
+        schema: Settings class.
+
+    Raises:
+        SettingsError: A value is missing or invalid.
+    """
     try:
         settings = msgspec.convert(values, schema)
     except msgspec.ValidationError as error:
@@ -131,8 +144,13 @@
 def check_address(path, key, text):
     """Check that *text* is an IP address with a port.
 
+    Args:
+        path: Path of the settings file, for the error message.
+        key: Name of the setting.
+        text: Value of the setting.
+
     Raises:
-        SettingsError: It is not.
+        SettingsError: The value is not a valid address.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -142,13 +160,21 @@
         is_valid = False
     if not is_valid:
         raise SettingsError(
-            f"{path}: {key}: expected IP address and port such as "
+            f"{path}: {key}: expected an IP address and a port such as "
             f"127.0.0.1:8100, got {text!r}"
         )
 
 
 def check_region(path, settings):
-    """Check that the host's region is one of the known ones."""
+    """Check that the region of the host is one of the listed regions.
+
+    Args:
+        path: Path of the settings file, for the error message.
+        settings: The settings.
+
+    Raises:
+        SettingsError: The region is not listed.
+    """
     region = getattr(settings, "region", None)
     if region is not None and region not in settings.regions:
         known_regions = ", ".join(settings.regions)
@@ -158,23 +184,23 @@
 
 
 def settings_command(name, schema, run):
-    """Return the click command of a binary that is run by settings.
+    """Return the click command of a program that takes a settings file.
 
     Args:
-        name: Name of the binary.
-        schema: Settings type.
-        run: Called with the checked settings; runs the process.
+        name: Name of the program.
+        schema: Settings class.
+        run: Called with the validated settings; runs the process.
     """
 
-    @click.command(name, help=f"Run {name} as its settings file says.")
+    @click.command(name, help=f"Run {name} with a settings file.")
     @click.option(
         "--settings",
         "path",
         required=True,
         metavar="FILE",
-        help="YAML file with the settings.",
+        help="YAML file with the settings of the process.",
     )
-    @click.option("--check", is_flag=True, help="Check the file and stop.")
+    @click.option("--check", is_flag=True, help="Validate the file and exit.")
     @click.version_option(package_name="hyssopspring")
     def command(path, check):
         try:
@@ -183,7 +209,7 @@
             click.echo(str(error), err=True)
             sys.exit(EXIT_BAD_SETTINGS)
         if check:
-            click.echo(f"{path}: in order")
+            click.echo(f"{path}: settings are valid")
             return
         run(settings)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,7 @@
-"""Separate processes on loopback, under kills, freezes and outages."""
+"""End-to-end tests with separate processes on the loopback interface.
+
+The processes are killed and suspended, and the platform becomes unavailable.
+"""
 
 import concurrent.futures
 import http.client
@@ -43,7 +46,7 @@
 
 @pytest.fixture(scope="module")
 def processes(tmp_path_factory):
-    """Yield three regions of separate processes."""
+    """Start the processes of three regions; stop them after the tests."""
     started = Processes(TOPOLOGY, tmp_path_factory.mktemp("fleet"))
     try:
         started.start()
@@ -54,7 +57,7 @@
 
 
 def connected(processes):
-    """Whether each gateway has heard of all data centres and servers."""
+    """Whether each gateway reports all data centres and backend servers."""
     _, answer = processes.operate("GET", "/v1/status")
     return len(answer["hosts"]) == 4 and all(
         len(host["centres"]) == 2 and len(host["servers"]) == 2
@@ -63,22 +66,22 @@
 
 
 def address(processes, name):
-    """Return the address of a process on the host list."""
+    """Return the address of a process from the host list."""
     return next(
         row["address"] for row in processes.rows if row["name"] == name
     )
 
 
 def wait_until(condition):
-    """Wait until *condition* holds."""
+    """Wait until *condition* returns true, at most `TIMEOUT_SECONDS`."""
     deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < deadline, "condition did not hold"
+        assert time.monotonic() < deadline, "condition was not met in time"
         time.sleep(0.05)
 
 
 def complete(processes, gateway, key="brokers-key", **headers):
-    """Send a completion; return status and answer."""
+    """Send a completion request; return the status and the response."""
     return processes.fetch(
         "POST",
         f"http://{address(processes, gateway)}/v1/completions",
@@ -88,7 +91,7 @@
 
 
 def set_engine_fault(processes, region, **faults):
-    """Set fault switches of a region's engine."""
+    """Set the faults that the engine of a region injects."""
     import json
 
     url = f"http://{address(processes, f'{region}-engine-0')}/faults"
@@ -96,13 +99,17 @@
 
 
 def ran(processes, region):
-    """Return what a region's engine took."""
+    """Return the requests that the engine of a region accepted."""
     url = f"http://{address(processes, f'{region}-engine-0')}/ran"
     return processes.fetch("GET", url)[1]["ran"]
 
 
 def test_official_client_works_unchanged(processes):
-    """The common client library reads whole, streamed and wrong."""
+    """The OpenAI client library works without changes.
+
+    It decodes complete responses, streamed responses, the list of models
+    and error responses.
+    """
     client = openai.OpenAI(
         api_key="brokers-key",
         base_url=f"http://{address(processes, 'dar-gateway-0')}/v1",
@@ -126,7 +133,11 @@
 
 
 def test_request_is_forwarded_to_another_region(processes):
-    """A region that cannot serve sends what it may to another one."""
+    """A region that cannot serve forwards requests to another region.
+
+    Only workspaces whose residency permits it are forwarded; the others
+    receive a response that the request was not run.
+    """
     set_engine_fault(processes, "dar", refuse=True)
     before = len(ran(processes, "arusha")) + len(ran(processes, "mwanza"))
     status, _ = complete(processes, "dar-gateway-0")
@@ -140,7 +151,7 @@
 
 
 def test_command_line_accepts_refuses_and_explains(processes):
-    """Operators see acceptance, refusal and the reason of each field."""
+    """The command line shows verdicts and the source of each field."""
     good = processes.directory / "20-team.yaml"
     good.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
     result = hyssopctl(processes, "config", "put", str(good))
@@ -161,7 +172,7 @@
 
 
 def hyssopctl(processes, *arguments):
-    """Run the command line."""
+    """Run the command-line tool with *arguments*."""
     program = pathlib.Path(sys.executable).parent / "hyssopctl"
     settings = str(processes.directory / "hyssopctl.yaml")
     return subprocess.run(
@@ -174,7 +185,10 @@
 
 
 def test_wrong_settings_give_one_line_and_code_two(tmp_path):
-    """A wrong settings file names file, key and need."""
+    """An invalid settings file causes a one-line error and exit code 2.
+
+    The line names the file, the key and the expected value.
+    """
     path = tmp_path / "gateway.yaml"
     cases = [
         ("listen: 5", "$.listen"),
@@ -203,11 +217,12 @@
 
 
 def test_kill_under_load_runs_nothing_twice(processes):
-    """Keyed single runs survive the kill of a gateway without a double.
+    """Killing a gateway under load runs no non-repeatable request twice.
 
-    A vendor would be paid twice: the portal's host dies after it sent an
-    approval on, the portal retries at another host with the same key,
-    and that host runs it again.
+    Guards against a duplicate payment: a gateway is killed after it sent
+    a request to the backend server, the caller retries with the same
+    idempotency key at another gateway, and that gateway runs the request
+    again.
     """
     hosts = ["dar-gateway-0", "dar-gateway-1"]
     deadline = time.monotonic() + 3 * TIMEOUT_SECONDS
@@ -257,11 +272,12 @@
 
 
 def test_frozen_gateway_wakes_up_without_old_rights(processes):
-    """A gateway that slept through a restriction does not serve by it.
+    """A resumed gateway does not use rights withdrawn while suspended.
 
-    A user's data would be served in an excluded region: the host of that
-    region is frozen, the host list drops it, the restriction is put in
-    force, and the host wakes up with the old configuration.
+    Guards against data being processed in an excluded region: the host of
+    that region is suspended and removed from the host list, the
+    restriction comes into force, and the host resumes with its old
+    configuration.
     """
     entry = f"http://{processes.platform}/hosts/mwanza-gateway-0"
     row = next(r for r in processes.rows if r["name"] == "mwanza-gateway-0")
@@ -296,10 +312,11 @@
 
 
 def test_platform_outage_stops_changes_and_nothing_else(processes):
-    """While the platform is frozen, callers are served as before.
+    """Callers are served as before while the platform is suspended.
 
-    A broker would wait for a platform that does not answer, though
-    everything that the request needs is known.
+    Guards against requests that wait for a platform that does not
+    respond, although the gateway has all the data that it needs to serve
+    them.
     """
     processes.signal("platform", signal.SIGSTOP)
     for gateway in ("dar-gateway-0", "arusha-gateway-0"):
@@ -315,7 +332,7 @@
 
 
 def test_planned_stop_of_a_process_exits_cleanly(processes):
-    """A gateway that is told to stop finishes and exits with code 0."""
+    """A gateway finishes its requests after SIGTERM and exits with 0."""
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         work = [
             pool.submit(complete, processes, "dar-gateway-1") for _ in range(8)
