--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -24,17 +24,17 @@
 
 
 class Admin:
-    """Create and run the components of one administration process.
+    """Create and run the components of one admin server.
 
     Args:
         settings: `AdminSettings`.
         reactor: The reactor.
-        wall: Callable that returns the wall clock in seconds.
+        wall: Callable that returns the wall-clock time in seconds.
         seed: Seed of the random number generator, or `NOTHING` for one
             from the operating system.
 
     Attributes:
-        loop: Periodic evaluation of the configuration folder.
+        loop: Periodic validation of the configuration folder.
         port: Listening port, or `NOTHING` before the start.
     """
 
@@ -70,7 +70,7 @@
         self.port = NOTHING
 
     def start(self):
-        """Start listening and start evaluating the configuration folder."""
+        """Start listening and start validating the configuration folder."""
         router = Router(self.report_failure)
         self.api.add_routes(router)
         site = LimitedSite(
@@ -91,10 +91,10 @@
         log_failure(self.settings.host, reason)
 
     async def stop(self):
-        """Stop the process.
+        """Stop the server.
 
-        An evaluation in progress is abandoned; another administration
-        process completes it.
+        A configuration change in progress is abandoned; another admin
+        server completes it.
         """
         self.loop.stop()
         self.acceptor.stop()
@@ -104,7 +104,7 @@
 
 
 def run(settings):
-    """Run an administration until the process receives a stop signal."""
+    """Run an admin server until the process receives a stop signal."""
     from twisted.internet import reactor
 
     start_logging(settings.log)
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -56,7 +56,7 @@
     Args:
         settings: `GatewaySettings`.
         reactor: The reactor.
-        wall: Callable that returns the wall clock in seconds.
+        wall: Callable that returns the wall-clock time in seconds.
         seed: Seed of the random number generator, or `NOTHING` for one
             from the operating system.
 
@@ -68,7 +68,7 @@
         loops: Periodic calls in progress.
         longest_stall: Longest recent delay of the event loop in seconds;
             it decays with each measurement.
-        trust_level: The last logged `Level` of trust.
+        trust_level: The level of trust that was logged last.
         publish_due: Time at which the directory entry is due for renewal.
         next_stall_check: Time at which the next measurement is expected,
             or `NOTHING` before the first one.
@@ -86,9 +86,9 @@
         self.unpooled_agent = make_agent(reactor, persistent=False)
         self.state = self.make_state(seed)
         self.peers = PeerTable(settings.host, settings.data_centre)
-        self.wire_platform()
-        self.wire_serving()
-        self.wire_membership()
+        self.create_platform_clients()
+        self.create_apis()
+        self.create_membership()
         self.ports = []
         self.loops = []
         self.longest_stall = 0.0
@@ -120,7 +120,7 @@
             ),
         )
 
-    def wire_platform(self):
+    def create_platform_clients(self):
         """Create the clients of the platform."""
         scheme, _, address = self.settings.platform.partition("+")
         client = find_key_value(scheme)
@@ -131,16 +131,16 @@
         self.control_client = ControlClient(
             self.pooled_agent, self.reactor, self.signer
         )
-        self.config_follower = ConfigFollower(
+        self.config_sync = ConfigFollower(
             self.state, self.peers, self.store, self.control_client
         )
         seeds = [seed_entry(peer) for peer in self.settings.peers]
-        self.host_follower = HostFollower(
+        self.host_list_sync = HostFollower(
             self.state, self.peers, self.hosts, seeds
         )
 
-    def wire_serving(self):
-        """Create the components that serve callers and other hosts."""
+    def create_apis(self):
+        """Create the HTTP APIs for callers and for other hosts."""
         client = BackendClient(
             self.pooled_agent, self.unpooled_agent, self.reactor, self.timeline
         )
@@ -175,7 +175,7 @@
             self.signer, self.state.keeper, self.timeline, self.status
         )
 
-    def wire_membership(self):
+    def create_membership(self):
         """Create the components that exchange control messages."""
         self.bus = Bus(
             self.reactor,
@@ -193,7 +193,7 @@
             self.drain,
             incarnation=self.incarnation,
             forward_address=self.settings.forward,
-            on_newer_generation=self.config_follower.newer,
+            on_newer_generation=self.config_sync.newer,
         )
         self.state.keeper.applied = lambda _: self.membership.announce()
         self.state.trust.neighbours = lambda now: self.peers.neighbours_agree(
@@ -268,8 +268,8 @@
 
     def tick(self):
         """Do the periodic work of one heartbeat interval."""
-        self.host_follower.tick()
-        self.config_follower.tick()
+        self.host_list_sync.tick()
+        self.config_sync.tick()
         self.membership.tick()
         self.state.crashes.tick()
         self.claims.tick()
@@ -414,7 +414,7 @@
         for loop in self.loops:
             if loop.running:
                 loop.stop()
-        self.config_follower.stop()
+        self.config_sync.stop()
         for port in self.ports:
             await port.stopListening()
         self.bus.stop()
--- a/src/hyssopspring/net/administration.py
+++ b/src/hyssopspring/net/administration.py
@@ -20,8 +20,8 @@
 FILES_PATH = "/v1/files/"
 FILE_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9._-]{0,99}\.ya?ml$")
 VERDICT_TIMEOUT_SECONDS = 8.0
-"""Time for which a write waits for its verdict before the response reports it
-as pending."""
+"""Time for which a write waits for its verdict; after it the response reports
+the file as pending."""
 
 IN_FORCE_TIMEOUT_SECONDS = 4.0
 """Time from the start of a write for which the response waits until every
@@ -66,7 +66,7 @@
     """Serve the HTTP API for operators.
 
     Args:
-        acceptor: `Acceptor` that evaluates the configuration files.
+        acceptor: `Acceptor` that validates the configuration files.
         hosts: `HostListClient` that reads the host list.
         control_client: `ControlClient` that queries the gateways.
         clock: Clock of the event loop.
@@ -88,7 +88,7 @@
     def add_routes(self, router):
         """Register the routes of the API with *router*."""
         router.add("GET", "/openapi.json", self.show_openapi)
-        router.add("GET", "/healthz", self.health)
+        router.add("GET", "/healthz", self.show_health)
         for method, path, handler in (
             ("GET", "/v1/files", self.list_files),
             ("GET", FILES_PATH, self.show_file),
@@ -105,7 +105,7 @@
     def require_token(self, handler):
         """Return *handler* wrapped in the check of the bearer token.
 
-        The wrapper also answers a failure of the platform with status 503.
+        The wrapper also responds with status 503 if the platform fails.
         """
 
         async def authenticated(request):
@@ -133,25 +133,25 @@
     def find_team(self, request):
         """Return the team of the request's bearer token.
 
-        All tokens are compared, each in constant time, so that response
-        times reveal nothing about them.
+        All tokens are compared, each with `hmac.compare_digest`, so that
+        the response time does not depend on how much of a token matches.
 
         Returns:
             The name of the team, or an empty string if the token is
             missing or unknown.
         """
         scheme, _, token = header(request, "authorization").partition(" ")
-        found = ""
+        matching_team = ""
         for team, expected_token in self.tokens.items():
             if hmac.compare_digest(expected_token.encode(), token.encode()):
-                found = team
-        return found if scheme.lower() == "bearer" else ""
+                matching_team = team
+        return matching_team if scheme.lower() == "bearer" else ""
 
     def show_openapi(self, request):
         """Respond with the OpenAPI description of this API."""
         respond_json(request, 200, OPENAPI)
 
-    def health(self, request):
+    def show_health(self, request):
         """Respond that the process is running."""
         respond_json(request, 200, {"status": "ok"})
 
@@ -206,7 +206,7 @@
         await self.write(request, file_name(request), None)
 
     async def write(self, request, name, content):
-        """Write or remove a file and respond once it is evaluated.
+        """Write or remove a file and respond once it is validated.
 
         Args:
             request: The HTTP request.
@@ -269,7 +269,7 @@
         )
 
     async def wait_verdict(self, name, revision):
-        """Return the `FileReport` once the write is evaluated.
+        """Return the `FileReport` once the write is validated.
 
         Args:
             name: Name of the file.
@@ -294,7 +294,7 @@
             file=name,
             verdict=Verdict.PENDING,
             generation=0,
-            reason="not evaluated yet; query the state of the file later",
+            reason="not validated yet; query the state of the file later",
         )
 
     async def wait_in_force(self, report, started_at):
@@ -327,15 +327,16 @@
 
         The value is `NOTHING` for a gateway that does not respond.
         """
-        listed = await self.hosts.read()
-        found = await gather(
-            self.control_client.status(row.forward) for row in listed.gateways
+        host_list = await self.hosts.read()
+        statuses = await gather(
+            self.control_client.status(row.forward)
+            for row in host_list.gateways
         )
-        names = [row.name for row in listed.gateways]
-        return dict(zip(names, found, strict=True))
+        names = [row.name for row in host_list.gateways]
+        return dict(zip(names, statuses, strict=True))
 
     async def check_file(self, request):
-        """Evaluate a file as if it were written, without writing it."""
+        """Validate a file as if it were written, without writing it."""
         name = file_name(request)
         request.content.seek(0)
         text = request.content.read().decode("utf-8", "replace")
@@ -349,14 +350,14 @@
         }
         revision = listing.revision + 1
         folder[name] = RawFile(text, revision)
-        evaluated = Judge(stored.accepted).judge(folder, revision)
-        state = evaluated.verdicts.get(name)
+        validated = Judge(stored.accepted).judge(folder, revision)
+        state = validated.verdicts.get(name)
         if state is None:
             respond_error(
                 request,
                 409,
                 "busy",
-                "another configuration change is being evaluated",
+                "another configuration change is being validated",
             )
             return
         status = 200 if state.verdict is Verdict.ACCEPTED else 409
@@ -392,8 +393,12 @@
         """Respond with the state of all gateways."""
         statuses = await self.read_statuses()
         rows = [row for row in statuses.values() if row is not NOTHING]
-        silent = [name for name, row in statuses.items() if row is NOTHING]
-        respond_json(request, 200, {"hosts": rows, "silent": sorted(silent)})
+        unresponsive = [
+            name for name, row in statuses.items() if row is NOTHING
+        ]
+        respond_json(
+            request, 200, {"hosts": rows, "silent": sorted(unresponsive)}
+        )
 
     async def forget_data_centre(self, request):
         """Remove a data centre that has been shut down permanently."""
@@ -411,23 +416,25 @@
         Events are ordered by their hybrid logical time, then by host.
         """
         request_id = request.args.get(b"request", [b""])[0].decode()
-        listed = await self.hosts.read()
-        found = await gather(
+        host_list = await self.hosts.read()
+        responses = await gather(
             self.control_client.events(row.forward, request_id)
-            for row in listed.gateways
+            for row in host_list.gateways
         )
         events = list(self.timeline.select(request=request_id))
-        silent = []
-        for row, answer in zip(listed.gateways, found, strict=True):
-            if answer is NOTHING:
-                silent.append(row.name)
+        unresponsive = []
+        for row, host_events in zip(
+            host_list.gateways, responses, strict=True
+        ):
+            if host_events is NOTHING:
+                unresponsive.append(row.name)
             else:
-                events.extend(answer)
+                events.extend(host_events)
         events.sort(
             key=lambda event: (event.millis, event.counter, event.host)
         )
         respond_json(
-            request, 200, {"events": events, "silent": sorted(silent)}
+            request, 200, {"events": events, "silent": sorted(unresponsive)}
         )
 
 
@@ -456,19 +463,19 @@
         revision: Revision of the write.
 
     Returns:
-        The report, or `NOTHING` while the write is not evaluated.
+        The report, or `NOTHING` until the write is validated.
     """
     state = accepted.files.get(name)
-    is_evaluated = accepted.folder_revision >= revision
+    is_validated = accepted.folder_revision >= revision
     if state is None:
-        if not is_evaluated:
+        if not is_validated:
             return NOTHING
         return FileReport(
             file=name,
             verdict=Verdict.ACCEPTED,
             generation=accepted.generation,
         )
-    if state.revision < revision and not is_evaluated:
+    if state.revision < revision and not is_validated:
         return NOTHING
     if state.revision > revision:
         return FileReport(
--- a/src/hyssopspring/net/claiming.py
+++ b/src/hyssopspring/net/claiming.py
@@ -39,7 +39,8 @@
 """Size of the random nonce that identifies one claim."""
 
 CLAIM_TIMEOUT_SECONDS = 1.5
-"""Time limit of one claim, including the request to the owner."""
+"""Time limit for writing one claim. A request to the owner of the shard, which
+may precede the write by this host, has a limit of its own."""
 
 OWNER_TIMEOUT_SECONDS = 0.6
 """Time limit of a request to the owner of a shard, after which this host
@@ -109,7 +110,7 @@
         store: Client of the key-value service.
         agent: HTTP agent for requests to other hosts.
         signer: `Signer` of these requests.
-        wall: Callable that returns the wall clock in seconds.
+        wall: Callable that returns the wall-clock time in seconds.
 
     Attributes:
         logs: `ClaimLog` by shard.
@@ -169,19 +170,19 @@
             self.record_outcome(record, outcome)
         return outcome
 
-    def make_record(self, request, nonce, mark):
+    def make_record(self, request, nonce, claim_state):
         """Return the `Record` of a request's key.
 
         Args:
             request: The `Request`.
             nonce: Random bytes that identify this claim.
-            mark: The `Mark` to write.
+            claim_state: The `Mark` to write.
         """
         remaining = request.deadline - self.state.clock.seconds()
         return Record(
             key_digest(request.workspace, request.key),
             nonce,
-            mark,
+            claim_state,
             int(self.wall() + max(0.0, remaining)) + 1,
         )
 
@@ -259,7 +260,7 @@
         signature = self.signer.sign(CLAIM_PATH.encode(), body)
         headers = Headers({SIGNATURE_HEADER.encode(): [b64encode(signature)]})
         try:
-            status, answer = await fetch(
+            status, response = await fetch(
                 self.agent,
                 b"POST",
                 f"http://{owner.forward}{CLAIM_PATH}",
@@ -270,7 +271,7 @@
             )
             if status != 200:
                 return NOTHING
-            return Verdict(RESPONSE_DECODER.decode(answer).verdict)
+            return Verdict(RESPONSE_DECODER.decode(response).verdict)
         except (
             NoAnswerError,
             ProtocolError,
@@ -295,43 +296,46 @@
             )
             return
         verdict = await self.submit(claim_request.record, claim_request.within)
-        answer = msgspec.msgpack.encode(ClaimResponse(verdict.value))
-        respond(http_request, 200, answer, content_type="application/msgpack")
+        response = msgspec.msgpack.encode(ClaimResponse(verdict.value))
+        respond(
+            http_request, 200, response, content_type="application/msgpack"
+        )
 
     def record_outcome(self, record, outcome):
         """Write the outcome of a request to the claim log.
 
-        A request that may have run keeps its key; a request that was not
-        run releases it.
+        A request that was not executed releases its key. Any other
+        outcome keeps the key claimed, since the request has run or may
+        have run.
         """
-        mark = Mark.UNKNOWN
+        claim_state = Mark.UNKNOWN
         if isinstance(outcome, Answered):
-            mark = Mark.DONE
+            claim_state = Mark.DONE
         elif isinstance(outcome, NotRun):
-            mark = Mark.RELEASED
-        defer.ensureDeferred(self.write_mark(record, mark))
+            claim_state = Mark.RELEASED
+        defer.ensureDeferred(self.write_claim_state(record, claim_state))
 
-    async def write_mark(self, record, mark):
-        """Write a mark through the owner of the shard.
+    async def write_claim_state(self, record, claim_state):
+        """Write the state of a claim through the owner of the shard.
 
         This host writes it if the owner does not respond or reports that
         claims are unavailable.
         """
-        marked = msgspec.structs.replace(record, mark=mark)
+        updated_record = msgspec.structs.replace(record, mark=claim_state)
         owner = self.owner(shard_of(record.digest))
         if owner is not NOTHING:
             verdict = await self.request_from_owner(
-                owner, marked, OWNER_TIMEOUT_SECONDS
+                owner, updated_record, OWNER_TIMEOUT_SECONDS
             )
             if verdict not in (NOTHING, Verdict.UNAVAILABLE):
                 return
-        await self.submit(marked, MARK_LIFE)
+        await self.submit(updated_record, MARK_LIFE)
 
     def release_later(self, record, verdict):
         """Release a key whose claim may still be written after a timeout.
 
-        The caller receives a response that the request was not run and
-        retries with the same key. A claim of this host that is still
+        The caller receives a response that the request was not executed
+        and retries with the same key. A claim of this host that is still
         written later would block the key permanently. After
         `RELEASE_DELAY_SECONDS` every write that could carry the claim has
         been answered or is outdated, so the release is the final record.
@@ -341,6 +345,6 @@
         self.state.clock.callLater(
             RELEASE_DELAY_SECONDS,
             lambda: defer.ensureDeferred(
-                self.write_mark(record, Mark.RELEASED)
+                self.write_claim_state(record, Mark.RELEASED)
             ),
         )
--- a/src/hyssopspring/net/control.py
+++ b/src/hyssopspring/net/control.py
@@ -118,13 +118,15 @@
             respond_error(request, 403, "bad_signature", "invalid signature")
             return
         body = make_body()
-        signed = b64encode(self.signer.sign(request.uri, body)).decode()
+        body_signature = b64encode(
+            self.signer.sign(request.uri, body)
+        ).decode()
         respond(
             request,
             200,
             body,
             content_type="application/octet-stream",
-            headers=[(SIGNATURE_HEADER, signed)],
+            headers=[(SIGNATURE_HEADER, body_signature)],
         )
 
 
@@ -207,14 +209,14 @@
             SIGNATURE_HEADER.encode(), [b""]
         )
         try:
-            signed = b64decode(values[0])
+            body_signature = b64decode(values[0])
         except Base64Error:
-            signed = b""
+            body_signature = b""
         if response.code != 200:
             raise ProtocolError(
                 f"{address} responded with status {response.code}"
             )
-        if not self.signer.verify(signed, path, body):
+        if not self.signer.verify(body_signature, path, body):
             raise ProtocolError(
                 f"response of {address} has an invalid signature"
             )
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -1,4 +1,7 @@
-"""Workspace limits over all hosts: admission and the share ledgers."""
+"""Workspace limits over all hosts: admission and the ledgers of holdings.
+
+A holding is the share of a limit that one host may use.
+"""
 
 from twisted.internet import defer
 from twisted.python.failure import Failure
@@ -32,15 +35,15 @@
 for each ledger."""
 
 MIN_UPDATE_INTERVAL_SECONDS = 1.0
-"""Shortest interval between two requests for a larger share after a rejection,
-for each workspace."""
+"""Shortest interval, per workspace, between two ledger updates that are
+triggered by a rejected request."""
 
 MIN_RELATIVE_CHANGE = 0.2
-"""Change in demand, relative to the current share, from which the share is
-updated."""
+"""Difference between demand and holding, relative to the holding, above which
+the holding is updated."""
 
 RENEW_BEFORE_EXPIRY_SECONDS = 3600.0
-"""Remaining time below which a share is renewed."""
+"""Remaining validity below which a holding is renewed."""
 
 TICK_INTERVAL_SECONDS = 1.0
 """Interval between two calls of `WorkspaceLimiter.tick`, over which demand is
@@ -56,13 +59,13 @@
 
 
 class WorkspaceLimiter:
-    """Admit requests within this host's share of each workspace's limits.
+    """Admit requests within this host's holding of each workspace's limits.
 
     Args:
         state: `HostState` of this host.
         peers: `PeerTable` of the other hosts.
         store: Client of the key-value service.
-        wall: Callable that returns the wall clock in seconds.
+        wall: Callable that returns the wall-clock time in seconds.
         on_failure: Called with the failure of a background update.
 
     Attributes:
@@ -97,9 +100,9 @@
             return await run()
         usage = self.usages.setdefault(request.workspace, Usage())
         usage.asked += 1
-        refused = await self.admit(request.workspace, usage, limits)
-        if refused is not NOTHING:
-            return NotRun(REASON_BY_LIMIT[refused])
+        exceeded_limit = await self.admit(request.workspace, usage, limits)
+        if exceeded_limit is not NOTHING:
+            return NotRun(REASON_BY_LIMIT[exceeded_limit])
         try:
             return await run()
         finally:
@@ -116,12 +119,12 @@
         return limits
 
     async def admit(self, workspace, usage, limits):
-        """Admit one request within this host's share of the limits.
+        """Admit one request within this host's holding of the limits.
 
-        If the share is exhausted, the ledger is updated and admission is
-        tried again. That happens at most once per
+        If the holding is exhausted, the ledger is updated and admission
+        is tried again. That happens at most once per
         `MIN_UPDATE_INTERVAL_SECONDS`, unless an update of the ledger is
-        already in progress.
+        already in progress, which is then awaited.
 
         Args:
             workspace: Name of the workspace.
@@ -134,18 +137,18 @@
         """
         now = self.state.clock.seconds()
         ledger_number = ledger_of(workspace)
-        refused = usage.take(limits, now, self.wall())
+        exceeded_limit = usage.take(limits, now, self.wall())
         is_recent = now - usage.tried_at < MIN_UPDATE_INTERVAL_SECONDS
-        if refused is NOTHING or (
+        if exceeded_limit is NOTHING or (
             is_recent and ledger_number not in self.waiting_by_ledger
         ):
-            return refused
+            return exceeded_limit
         usage.tried_at = now
         await self.update_ledger(ledger_number)
         return usage.take(limits, self.state.clock.seconds(), self.wall())
 
     def tick(self):
-        """Adapt the shares to demand; called once per second."""
+        """Adapt the holdings to demand; called once per second."""
         hosts = len(self.peers.entries) + 1
         self.pacer.rate = FLEET_WRITES_PER_SECOND / hosts
         for usage in self.usages.values():
@@ -162,7 +165,7 @@
             defer.ensureDeferred(self.update_ledger(ledger_number))
 
     def is_due(self, workspace, usage):
-        """Whether a share is due for renewal or differs much from demand.
+        """Whether a holding is due for renewal or differs much from demand.
 
         Differences of up to 0.5 % of the whole limit are ignored.
         """
@@ -181,7 +184,7 @@
         )
 
     def min_units(self, workspace):
-        """Return the minimum units that a host of the home region keeps.
+        """Return the minimum units that a host of the home region retains.
 
         Without a minimum, a home region that is partitioned from the
         platform could not serve its own callers until the connection is
@@ -190,12 +193,12 @@
         rights = self.state.keeper.enforced.workspaces.get(workspace)
         if rights is None or rights.home != self.state.region:
             return 0
-        at_home = 1 + sum(
+        home_hosts = 1 + sum(
             1
             for entry in self.peers.entries.values()
             if entry.region == self.state.region
         )
-        return int(WHOLE * HOME_FLOOR / at_home)
+        return int(WHOLE * HOME_FLOOR / home_hosts)
 
     def update_ledger(self, ledger_number):
         """Update one ledger and return a deferred.
@@ -226,10 +229,10 @@
         return result
 
     async def write_ledger(self, ledger_number):
-        """Write this host's demand and use the share that it receives.
+        """Write this host's demand and use the holdings that result.
 
-        The update ends without effect if the rate of writes is exceeded
-        or the key-value service fails; the next tick repeats it.
+        The update is abandoned if the rate limit of writes is exceeded or
+        the key-value service fails; a later tick repeats it.
         """
         for _ in range(MAX_WRITE_ATTEMPTS):
             if not self.pacer.take(self.state.clock.seconds()):
@@ -243,10 +246,10 @@
     async def try_write(self, ledger_number):
         """Make one attempt to write a ledger.
 
-        A share that shrinks is reduced on this host before the write, and
-        stays reduced if the write fails. A share that grows is used only
-        after the write is confirmed. Thus the shares in use never exceed
-        the limit.
+        A holding that shrinks is reduced on this host before the write,
+        and stays reduced if the write fails. A holding that grows is used
+        only after the write is confirmed. Thus the holdings in use never
+        exceed the limit.
 
         Returns:
             Whether the ledger is up to date, so that no further attempt
@@ -254,25 +257,27 @@
         """
         key = f"{SHARES_PREFIX}{ledger_number}"
         entry = await self.store.get(key)
-        before, revision = Ledger(), 0
+        old_ledger, revision = Ledger(), 0
         if entry is not NOTHING:
-            before, revision = decode_ledger(entry.value), entry.revision
-        after = settle(
-            before,
+            old_ledger, revision = decode_ledger(entry.value), entry.revision
+        new_ledger = settle(
+            old_ledger,
             self.state.host,
             self.own_demands(ledger_number),
             self.wall(),
         )
-        held = self.own_holdings(ledger_number, after)
-        for workspace, holding in held.items():
+        holdings = self.own_holdings(ledger_number, new_ledger)
+        for workspace, holding in holdings.items():
             usage = self.usages[workspace]
             usage.units = min(usage.units, holding.units)
-        if after == before:
+        if new_ledger == old_ledger:
             return True
-        result = await self.store.swap(key, encode_ledger(after), revision)
+        result = await self.store.swap(
+            key, encode_ledger(new_ledger), revision
+        )
         if not isinstance(result, Applied):
             return False
-        for workspace, holding in held.items():
+        for workspace, holding in holdings.items():
             usage = self.usages[workspace]
             usage.units = holding.units
             usage.until = holding.until
--- a/src/hyssopspring/net/membership.py
+++ b/src/hyssopspring/net/membership.py
@@ -36,7 +36,8 @@
 
 MAX_ANNOUNCED_INTERVAL_SECONDS = 5.0
 """Longest summary interval with which a new configuration triggers a summary
-at once. A longer interval means that a summary costs too many bytes."""
+at once. Beyond it, summaries are large or have many receivers, so that an
+additional one costs too much bandwidth."""
 
 
 class Membership:
--- a/src/hyssopspring/net/messages.py
+++ b/src/hyssopspring/net/messages.py
@@ -74,8 +74,8 @@
         millis: Wall-clock part of the hybrid logical time.
         counter: Logical part of the hybrid logical time.
         generation: Configuration generation in force on the sender.
-        leaving: Whether the sender is shutting down and accepts no new
-            work.
+        leaving: Whether the sender is shutting down and is to receive no
+            new work.
         contact: Whether the sender has just read the platform.
         servers: Load of the backend servers that the sender polls.
         departing: Backend servers that the sender has found to be
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -80,7 +80,7 @@
         time.sleep(0.05)
 
 
-def complete(processes, gateway, key="brokers-key", **headers):
+def send_completion(processes, gateway, key="brokers-key", **headers):
     """Send a completion request; return the status and the response."""
     return processes.fetch(
         "POST",
@@ -98,8 +98,8 @@
     processes.fetch("POST", url, json.dumps(faults).encode())
 
 
-def ran(processes, region):
-    """Return the requests that the engine of a region accepted."""
+def executed_requests(processes, region):
+    """Return the requests that a region's engine accepted to execute."""
     url = f"http://{address(processes, f'{region}-engine-0')}/ran"
     return processes.fetch("GET", url)[1]["ran"]
 
@@ -136,15 +136,21 @@
     """A region that cannot serve forwards requests to another region.
 
     Only workspaces whose residency permits it are forwarded; the others
-    receive a response that the request was not run.
+    receive a response that the request was not executed.
     """
     set_engine_fault(processes, "dar", refuse=True)
-    before = len(ran(processes, "arusha")) + len(ran(processes, "mwanza"))
-    status, _ = complete(processes, "dar-gateway-0")
+    before = len(executed_requests(processes, "arusha")) + len(
+        executed_requests(processes, "mwanza")
+    )
+    status, _ = send_completion(processes, "dar-gateway-0")
     assert_that(status, Equals(200))
-    after = len(ran(processes, "arusha")) + len(ran(processes, "mwanza"))
+    after = len(executed_requests(processes, "arusha")) + len(
+        executed_requests(processes, "mwanza")
+    )
     assert_that(after, Equals(before + 1))
-    status, answer = complete(processes, "dar-gateway-1", key="reviews-key")
+    status, answer = send_completion(
+        processes, "dar-gateway-1", key="reviews-key"
+    )
     assert_that(status, Equals(503))
     assert_that(answer["error"]["type"], Equals("not_run"))
     set_engine_fault(processes, "dar", refuse=False)
@@ -152,14 +158,16 @@
 
 def test_command_line_accepts_refuses_and_explains(processes):
     """The command line shows verdicts and the source of each field."""
-    good = processes.directory / "20-team.yaml"
-    good.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
-    result = hyssopctl(processes, "config", "put", str(good))
+    accepted_file = processes.directory / "20-team.yaml"
+    accepted_file.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
+    result = hyssopctl(processes, "config", "put", str(accepted_file))
     assert_that(result.returncode, Equals(0))
     assert_that(result.stdout, Contains("in force after"))
-    bad = processes.directory / "30-bad.yaml"
-    bad.write_text("workspaces:\n  brokers:\n    residency: [mars]\n")
-    result = hyssopctl(processes, "config", "put", str(bad))
+    rejected_file = processes.directory / "30-bad.yaml"
+    rejected_file.write_text(
+        "workspaces:\n  brokers:\n    residency: [mars]\n"
+    )
+    result = hyssopctl(processes, "config", "put", str(rejected_file))
     assert_that(result.returncode, Equals(1))
     assert_that(result.stderr, Contains("30-bad.yaml:3:"))
     result = hyssopctl(processes, "config", "explain", "brokers")
@@ -293,18 +301,20 @@
         "PUT", "/v1/files/20-cut.yaml", text + "# again\n"
     )
     assert_that(status, Equals(200))
-    before = len(ran(processes, "mwanza"))
+    before = len(executed_requests(processes, "mwanza"))
     processes.signal("mwanza-gateway-0", signal.SIGCONT)
-    complete(processes, "mwanza-gateway-0")
-    served_remotely = len(ran(processes, "mwanza")) - before
+    send_completion(processes, "mwanza-gateway-0")
+    served_remotely = len(executed_requests(processes, "mwanza")) - before
     assert_that(served_remotely, Equals(0))
-    processes.fetch("PUT", entry, str_json(row))
+    processes.fetch("PUT", entry, to_json_bytes(row))
     status, _ = processes.operate("DELETE", "/v1/files/20-cut.yaml")
     assert_that(status, Equals(200))
-    wait_until(lambda: complete(processes, "mwanza-gateway-0")[0] == 200)
+    wait_until(
+        lambda: send_completion(processes, "mwanza-gateway-0")[0] == 200
+    )
 
 
-def str_json(value):
+def to_json_bytes(value):
     """Return *value* as JSON bytes."""
     import json
 
@@ -321,7 +331,7 @@
     processes.signal("platform", signal.SIGSTOP)
     for gateway in ("dar-gateway-0", "arusha-gateway-0"):
         for _ in range(5):
-            status, _ = complete(processes, gateway)
+            status, _ = send_completion(processes, gateway)
             assert_that(status, Equals(200))
     status, answer = processes.operate("PUT", "/v1/files/40-x.yaml", "")
     assert_that(status, Equals(503))
@@ -335,7 +345,8 @@
     """A gateway finishes its requests after SIGTERM and exits with 0."""
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         work = [
-            pool.submit(complete, processes, "dar-gateway-1") for _ in range(8)
+            pool.submit(send_completion, processes, "dar-gateway-1")
+            for _ in range(8)
         ]
         processes.signal("dar-gateway-1", signal.SIGTERM)
         statuses = {job.result()[0] for job in work}
