--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -12,16 +12,16 @@
 
 from twisted.internet import defer, reactor, task
 
-from hyssopspring.config.acceptance import Judge, RawFile
+from hyssopspring.config.validation import FolderValidator, RawFile
 from hyssopspring.core.accepted import (
     Accepted,
     decode_accepted,
     encode_accepted,
 )
 from hyssopspring.core.claims import (
-    SHARDS,
+    SHARD_COUNT,
     ClaimIndex,
-    Mark,
+    ClaimState,
     Record,
     Segment,
     encode_segment,
@@ -32,10 +32,10 @@
 from hyssopspring.net.membership import centre_summary, target_loads
 from hyssopspring.net.messages import (
     ENCODER,
+    DataCentreSummaryMessage,
     Heartbeat,
     ServerLoad,
     Signer,
-    Summary,
     decode_message,
 )
 from hyssopspring_fakes.fleet import (
@@ -99,7 +99,7 @@
         for number in range(count)
     )
     for name in table.servers:
-        table.take_report(name, report(1))
+        table.apply_report(name, report(1))
     return table
 
 
@@ -183,7 +183,7 @@
             )
             for number in range(models)
         )
-        message = Summary(
+        message = DataCentreSummaryMessage(
             host="region-gateway-0",
             region="region",
             data_centre="region-a",
@@ -203,7 +203,7 @@
             (
                 models,
                 timed(
-                    lambda d=data, s=signature, c=centres: c.take(
+                    lambda d=data, s=signature, c=centres: c.apply_summary(
                         centre_summary(hear(d, s), 0.0)
                     ),
                     200,
@@ -231,7 +231,7 @@
             (
                 servers,
                 timed(
-                    lambda t=table, n=names, c=counter: t.take_report(
+                    lambda t=table, n=names, c=counter: t.apply_report(
                         n[0], report(next(c))
                     ),
                     2000,
@@ -272,7 +272,9 @@
     sizes, judging, decoding, memory = [], [], [], []
     for count in (10, 100, 330, 1000):
         folder = make_files(count)
-        accepted = Judge(Accepted()).judge(folder, count + 2).accepted
+        accepted = (
+            FolderValidator(Accepted()).validate(folder, count + 2).accepted
+        )
         data = encode_accepted(accepted)
         sizes.append((count, len(data) / 1024))
         changed = dict(folder)
@@ -282,9 +284,9 @@
             (
                 count,
                 timed(
-                    lambda a=accepted, c=changed, n=count: Judge(a).judge(
-                        c, n + 9
-                    ),
+                    lambda a=accepted, c=changed, n=count: FolderValidator(
+                        a
+                    ).validate(c, n + 9),
                     3,
                 )
                 / 1000,
@@ -313,7 +315,9 @@
     memory, folding, sizes = [], [], []
     for count in (1_000, 10_000, 50_000):
         records = [
-            Record(rng.randbytes(16), rng.randbytes(8), Mark.CLAIMED, 10**9)
+            Record(
+                rng.randbytes(16), rng.randbytes(8), ClaimState.CLAIMED, 10**9
+            )
             for _ in range(count)
         ]
         gc.collect()
@@ -321,7 +325,7 @@
         before = tracemalloc.get_traced_memory()[0]
         index = ClaimIndex()
         for record in records:
-            index.fold(record)
+            index.apply(record)
         memory.append(
             (count, (tracemalloc.get_traced_memory()[0] - before) / 1024)
         )
@@ -329,7 +333,7 @@
         fresh = ClaimIndex()
         began = time.process_time()
         for record in records:
-            fresh.fold(record)
+            fresh.apply(record)
         folding.append((count, (time.process_time() - began) * 1000))
         sizes.append(
             (count, len(encode_segment(Segment(records=records))) / 1024)
@@ -448,12 +452,12 @@
         f"judging {at(configuration[1], WORKSPACES):.0f} ms a change"
     )
     keys = KEYED_A_SECOND * RETENTION_HOURS * 3600
-    owned = keys / SHARDS
+    owned = keys / SHARD_COUNT
     print(
         f"claims at {KEYED_A_SECOND} keyed a second, kept for "
         f"{RETENTION_HOURS} h: {keys:,} keys, "
         f"{owned * (claims[0][1] + 0.11) / 1024:.1f} MB at each owner of "
-        f"one of {SHARDS} shards, "
+        f"one of {SHARD_COUNT} shards, "
         f"{keys * claims[2][1] / 1024:.0f} MB stored"
     )
     print(
--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -1,35 +1,40 @@
-"""The administration: composition root of ``hyssop-admin``."""
+"""Composition root and command of ``hyssop-admin``."""
 
 import time
 
 from twisted.internet import defer, task
 
-from .config.accepting import EVALUATE_EVERY, Acceptor
+from .config.reconciler import RECONCILE_INTERVAL_SECONDS, Reconciler
 from .core.events import EventKind
 from .core.sentinels import NOTHING
 from .logs import start_logging
 from .net.administration import AdminApi
 from .net.clients import make_agent
-from .net.control import PageReader
+from .net.control import ControlClient
 from .net.messages import Signer
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
 from .settings import AdminSettings, settings_command, split_address
-from .stores import etcd  # noqa: F401 - registers itself
 from .stores.hosts import HostListClient
-from .stores.keyvalues import find_key_value
+from .stores.keyvalues import find_client
 
-LONGEST_FILE = 256 * 1024
+MAX_FILE_BYTES = 256 * 1024
+"""Largest request body, and so the largest configuration file."""
 
 
 class Admin:
-    """All parts of one administration, wired.
+    """Create and run the components of one admin server.
 
     Args:
         settings: `AdminSettings`.
         reactor: The reactor.
-        wall: Callable that returns the wall clock in seconds.
-        seed: Seed of random choices, or `NOTHING` for the system's.
+        wall: Callable that returns the wall-clock time in seconds.
+        seed: Seed of the random number generator, or `NOTHING` for one
+            from the operating system.
+
+    Attributes:
+        loop: Periodic validation of the configuration folder.
+        port: Listening port, or `NOTHING` before the start.
     """
 
     def __init__(self, settings, reactor, *, wall, seed=NOTHING):
@@ -38,57 +43,69 @@
         self.timeline = make_timeline(settings, wall)
         self.agent = make_agent(reactor)
         scheme, _, address = settings.platform.partition("+")
-        self.store = find_key_value(scheme)(address, self.agent, reactor)
+        self.store = find_client(scheme)(address, self.agent, reactor)
         hosts = HostListClient(settings.host_list, self.agent, reactor)
-        pages = PageReader(self.agent, reactor, Signer(settings.peer_secret))
-        self.acceptor = Acceptor(
+        control_client = ControlClient(
+            self.agent, reactor, Signer(settings.peer_secret)
+        )
+        self.reconciler = Reconciler(
             self.store,
             hosts,
-            pages,
+            control_client,
             reactor,
             self.timeline,
             make_rng(seed),
         )
         self.api = AdminApi(
-            self.acceptor,
+            self.reconciler,
             hosts,
-            pages,
+            control_client,
             reactor,
             self.timeline,
             settings.tokens,
         )
-        self.loop = task.LoopingCall(self.acceptor.changed)
+        self.loop = task.LoopingCall(self.reconciler.schedule)
         self.loop.clock = reactor
         self.port = NOTHING
 
     def start(self):
-        """Listen, and judge the folder."""
-        router = Router(self.note_failure)
+        """Start listening and start validating the configuration folder."""
+        router = Router(self.report_failure)
         self.api.add_routes(router)
         site = LimitedSite(
-            router.resource(), longest=LONGEST_FILE, reactor=self.reactor
+            router.resource(),
+            max_request_bytes=MAX_FILE_BYTES,
+            reactor=self.reactor,
         )
         host, port = split_address(self.settings.listen)
         self.port = self.reactor.listenTCP(port, site, interface=host)
-        self.acceptor.start()
-        self.loop.start(EVALUATE_EVERY)
+        self.reconciler.start()
+        self.loop.start(RECONCILE_INTERVAL_SECONDS)
         self.timeline.note(EventKind.STARTED)
 
-    def note_failure(self, reason):
-        """Write the trace of a handler that raised."""
+    def report_failure(self, reason):
+        """Log the traceback of a handler that raised.
+
+        Args:
+            reason: The `Failure`.
+        """
         log_failure(self.settings.host, reason)
 
     async def stop(self):
-        """Stop; what is half done, another administration finishes."""
+        """Stop the server.
+
+        A configuration change in progress is abandoned; another admin
+        server completes it.
+        """
         self.loop.stop()
-        self.acceptor.stop()
+        self.reconciler.stop()
         await self.port.stopListening()
         await self.agent.pool.closeCachedConnections()
         self.timeline.note(EventKind.STOPPED)
 
 
 def run(settings):
-    """Run an administration until it is told to stop."""
+    """Run an admin server until the process receives a stop signal."""
     from twisted.internet import reactor
 
     start_logging(settings.log)
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -166,7 +166,7 @@
         outcome = NOTHING
         while True:
             outcome = await self.next_try()
-            if self.sink.gone or not self.should_retry(outcome):
+            if self.sink.disconnected or not self.should_retry(outcome):
                 break
         self.conclude(outcome)
         self.close()
@@ -178,7 +178,7 @@
         if refusal is not NOTHING:
             return refusal
         number, decision = await self.get_placement()
-        if self.sink.gone or self.time_left < MIN_ATTEMPT_SECONDS:
+        if self.sink.disconnected or self.time_left < MIN_ATTEMPT_SECONDS:
             self.state.coordinator.note_end(number, AttemptResult.UNUSED)
             return NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
         refusal = self.crash_refusal()
@@ -384,7 +384,9 @@
             peer=member.name,
             predicted=round(away.predicted, 3),
         )
-        headers = self.state.codec.passed_on(self.request.requestHeaders)
+        headers = self.state.codec.forwarded_headers(
+            self.request.requestHeaders
+        )
         headers.setRawHeaders(
             RELAY_HEADER, [encode_parameters(self.relay_parameters())]
         )
@@ -491,7 +493,7 @@
             self.sink.start(
                 buffered_response.status, buffered_response.headers
             )
-        self.sink.pausing(response._transport)
+        self.sink.set_producer(response._transport)
         return self.forward_events
 
     def forward_events(self, events):
@@ -618,7 +620,7 @@
 
     def conclude(self, outcome):
         """Deliver the final outcome."""
-        if self.sink.finished or self.sink.gone:
+        if self.sink.finished or self.sink.disconnected:
             self.log_end("gone")
             return
         if isinstance(outcome, Answered):
@@ -646,7 +648,7 @@
 
     def deliver_buffered(self, buffered_response):
         """Send a buffered response of a server."""
-        self.sink.whole(
+        self.sink.send_whole(
             buffered_response.status,
             buffered_response.headers,
             buffered_response.body,
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -188,14 +188,14 @@
         if limit is NOTHING:
             return decide()
         key = (ask.host, ask.number)
-        shortage = self.limits.take(
+        shortage = self.limits.try_take(
             ask.workspace, limit, ask.cost, self.clock(), key
         )
         if shortage is not NOTHING:
             return self.limited_decision(shortage)
         decision = decide()
         if not isinstance(decision, Placed | PlacedRemotely):
-            self.limits.give_back(key)
+            self.limits.refund(key)
         return decision
 
     def limited_decision(self, shortage):
@@ -215,22 +215,24 @@
     def note_end(self, host, number, finding):
         """Refund the tokens of a request that has not run."""
         if finding in NOT_RUN:
-            self.limits.give_back((host, number))
+            self.limits.refund((host, number))
         else:
-            self.limits.forget_charge((host, number))
+            self.limits.discard_charge((host, number))
 
     def tick(self):
         """Request missing tokens from other regions if this host places."""
         if not self.keeper.current or not self.keeper.current.workspaces:
             return
         now = self.clock()
-        self.limits.settle_all(self.limit_of, now)
+        self.limits.refill_all(self.limit_of, now)
         if not self.is_first():
             return
         rows = []
         for workspace in self.keeper.current.workspaces.values():
             if workspace.limit is not NOTHING:
-                wanted = self.limits.wish(workspace.name, workspace.limit, now)
+                wanted = self.limits.tokens_to_request(
+                    workspace.name, workspace.limit, now
+                )
                 if wanted:
                     rows.append((short_id(workspace.name), wanted))
         if not rows:
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -266,7 +266,7 @@
             placed_by=self.state.coordinator.placer_of(number),
             **notice_details(decision),
         )
-        if self.sink.gone or self.refuse_if_crashing():
+        if self.sink.disconnected or self.refuse_if_crashing():
             self.state.coordinator.note_end(number, AttemptResult.UNUSED)
             return
         outcome = await self.run_attempt(number, decision, metadata)
@@ -349,7 +349,7 @@
             buffered_response.status,
             self.relay_headers(buffered_response.headers),
         )
-        self.sink.pausing(response._transport)
+        self.sink.set_producer(response._transport)
         return self.sink.write
 
     def relay_headers(self, headers):
@@ -377,7 +377,7 @@
                 self.sink.abort()
         elif isinstance(outcome, Answered):
             buffered_response = self.attempt.buffered_response
-            self.sink.whole(
+            self.sink.send_whole(
                 buffered_response.status,
                 self.relay_headers(buffered_response.headers),
                 buffered_response.body,
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: composition root and command of ``hyssop-gateway``."""
+"""Composition root and command of ``hyssop-gateway``."""
 
 import uuid
 
@@ -9,49 +9,68 @@
 from .core.budgets import RetryBudget
 from .core.events import EventKind
 from .core.exceptions import PlatformError
-from .core.membership import HEARTBEAT_EVERY, PeerEntry, PeerTable
+from .core.membership import HEARTBEAT_INTERVAL_SECONDS, PeerEntry, PeerTable
 from .core.placement import CentreTable
 from .core.sentinels import NOTHING
 from .core.servers import ServerTable
-from .core.trust import Level, Trust
+from .core.trust import Trust, TrustLevel
 from .logs import start_logging
 from .net.backends import BackendClient
 from .net.bus import Bus
 from .net.callers import CallerApi
 from .net.claiming import Claims
 from .net.clients import make_agent
-from .net.control import ControlPages, HostStatus, PageReader
-from .net.crashes import CRASH_TOPIC, CallCrashes
+from .net.control import ControlApi, ControlClient, HostStatus
+from .net.crashdetection import CRASH_TOPIC, CallCrashDetector
 from .net.dispatching import Dispatcher, HostState
 from .net.draining import Drain
 from .net.forwarding import ForwardedApi
-from .net.gates import Gates
-from .net.limiting import Limits
+from .net.interceptors import Interceptors
+from .net.limiting import WorkspaceLimiter
 from .net.membership import Membership
-from .net.messages import CallSuspects, Signer
+from .net.messages import CrashSuspectsMessage, Signer
 from .net.serving import LimitedSite, Router
 from .observing import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
-from .stores import etcd  # noqa: F401 - registers itself
-from .stores.following import ConfigFollower, HostFollower
 from .stores.hosts import HostListClient
-from .stores.keyvalues import find_key_value
+from .stores.keyvalues import find_client
+from .stores.sync import ConfigSync, HostListSync
 
-STALL_EVERY = 0.1
-STALL_REPORT = 0.25
-HOSTS_TIME_TO_LIVE = 5
+STALL_CHECK_INTERVAL_SECONDS = 0.1
+"""Interval at which the delay of the event loop is measured."""
+
+STALL_THRESHOLD_SECONDS = 0.25
+"""Delay of the event loop beyond which a stall is logged."""
+
+HOSTS_TTL_SECONDS = 5
+"""Time for which callers may cache the list of entry hosts; also the interval
+at which this host renews its directory entry."""
 
 __all__ = ["Gateway", "main"]
 
 
 class Gateway:
-    """All parts of one gateway, wired.
+    """Create and run the components of one gateway.
 
     Args:
         settings: `GatewaySettings`.
         reactor: The reactor.
-        wall: Callable that returns the wall clock in seconds.
-        seed: Seed of random choices, or `NOTHING` for the system's.
+        wall: Callable that returns the wall-clock time in seconds.
+        seed: Seed of the random number generator, or `NOTHING` for one
+            from the operating system.
+
+    Attributes:
+        incarnation: Identifier of this run of the process.
+        pooled_agent: HTTP agent that reuses connections.
+        unpooled_agent: HTTP agent that opens a connection per request.
+        ports: Listening ports.
+        loops: Periodic calls in progress.
+        longest_stall: Longest recent delay of the event loop in seconds;
+            it decays with each measurement.
+        trust_level: The level of trust that was logged last.
+        publish_due: Time at which the directory entry is due for renewal.
+        next_stall_check: Time at which the next measurement is expected,
+            or `NOTHING` before the first one.
     """
 
     def __init__(self, settings, reactor, *, wall, seed=NOTHING):
@@ -62,22 +81,22 @@
         self.timeline = make_timeline(settings, wall)
         self.drain = Drain()
         self.signer = Signer(settings.peer_secret)
-        self.pooled = make_agent(reactor)
-        self.fresh = make_agent(reactor, persistent=False)
+        self.pooled_agent = make_agent(reactor)
+        self.unpooled_agent = make_agent(reactor, persistent=False)
         self.state = self.make_state(seed)
         self.peers = PeerTable(settings.host, settings.data_centre)
-        self.wire_platform()
-        self.wire_serving()
-        self.wire_membership()
+        self.create_platform_clients()
+        self.create_apis()
+        self.create_membership()
         self.ports = []
         self.loops = []
-        self.stall = 0.0
-        self.trust_level = Level.FULL
+        self.longest_stall = 0.0
+        self.trust_level = TrustLevel.FULL
         self.publish_due = 0.0
-        self.stall_expected = NOTHING
+        self.next_stall_check = NOTHING
 
     def make_state(self, seed):
-        """Return the `HostState`."""
+        """Return the `HostState` of this host."""
         settings = self.settings
         return HostState(
             host=settings.host,
@@ -92,7 +111,7 @@
             rng=make_rng(seed),
             policy=settings.policy,
             trust=Trust(self.reactor.seconds()),
-            crashes=CallCrashes(
+            crash_detector=CallCrashDetector(
                 settings.host,
                 self.reactor,
                 self.timeline,
@@ -100,95 +119,103 @@
             ),
         )
 
-    def wire_platform(self):
-        """Make the clients of the platform."""
+    def create_platform_clients(self):
+        """Create the clients of the platform."""
         scheme, _, address = self.settings.platform.partition("+")
-        client = find_key_value(scheme)
-        self.store = client(address, self.pooled, self.reactor)
+        client = find_client(scheme)
+        self.store = client(address, self.pooled_agent, self.reactor)
         self.hosts = HostListClient(
-            self.settings.host_list, self.pooled, self.reactor
+            self.settings.host_list, self.pooled_agent, self.reactor
+        )
+        self.control_client = ControlClient(
+            self.pooled_agent, self.reactor, self.signer
         )
-        self.pages = PageReader(self.pooled, self.reactor, self.signer)
-        self.config = ConfigFollower(
-            self.state, self.peers, self.store, self.pages
+        self.config_sync = ConfigSync(
+            self.state, self.peers, self.store, self.control_client
         )
         seeds = [seed_entry(peer) for peer in self.settings.peers]
-        self.follower = HostFollower(self.state, self.peers, self.hosts, seeds)
+        self.host_list_sync = HostListSync(
+            self.state, self.peers, self.hosts, seeds
+        )
 
-    def wire_serving(self):
-        """Make what serves callers and other hosts."""
+    def create_apis(self):
+        """Create the HTTP APIs for callers and for other hosts."""
         client = BackendClient(
-            self.pooled, self.fresh, self.reactor, self.timeline
+            self.pooled_agent, self.unpooled_agent, self.reactor, self.timeline
         )
         self.dispatcher = Dispatcher(self.state, client, self.signer)
         self.claims = Claims(
             self.state,
             self.peers,
             self.store,
-            self.pooled,
+            self.pooled_agent,
             self.signer,
             self.wall,
         )
-        self.limits = Limits(
+        self.limits = WorkspaceLimiter(
             self.state,
             self.peers,
             self.store,
             self.wall,
-            failed=self.note_failure,
+            on_failure=self.report_failure,
         )
-        self.gates = Gates(self.limits, self.claims)
+        self.interceptors = Interceptors(self.limits, self.claims)
         self.callers = CallerApi(
             self.state,
             self.dispatcher,
             self.drain,
-            self.gates,
+            self.interceptors,
             self.entry_hosts,
         )
         self.forwarded = ForwardedApi(
             self.state, self.dispatcher, self.signer, self.drain
         )
-        self.control = ControlPages(
+        self.control = ControlApi(
             self.signer, self.state.keeper, self.timeline, self.status
         )
 
-    def wire_membership(self):
-        """Make what exchanges control messages."""
+    def create_membership(self):
+        """Create the components that exchange control messages."""
         self.bus = Bus(
             self.reactor,
             self.settings.control,
             self.settings.peer_secret,
-            received=self.take_message,
-            refused=self.note_refused,
-            failed=self.note_failure,
+            on_message=self.handle_message,
+            on_rejected=self.log_rejected_message,
+            on_failure=self.report_failure,
         )
         self.membership = Membership(
             self.state,
             self.peers,
             self.bus,
-            self.pooled,
+            self.pooled_agent,
             self.drain,
             incarnation=self.incarnation,
             forward_address=self.settings.forward,
-            newer=self.config.newer,
+            on_newer_generation=self.config_sync.on_newer_generation,
         )
-        self.state.keeper.applied = lambda _: self.membership.announce()
-        self.state.trust.neighbours = lambda now: self.peers.neighbours_agree(
-            now, self.state.keeper.generation
+        self.state.keeper.on_applied = lambda _: self.membership.announce()
+        self.state.trust.neighbours = lambda now: (
+            self.peers.neighbours_up_to_date(now, self.state.keeper.generation)
         )
 
-    def take_message(self, message):
-        """Hand a message of another host over."""
-        if isinstance(message, CallSuspects):
-            self.state.crashes.take(message)
+    def handle_message(self, message):
+        """Pass a message of another host to its handler."""
+        if isinstance(message, CrashSuspectsMessage):
+            self.state.crash_detector.handle_message(message)
         else:
-            self.membership.hear(message)
+            self.membership.handle_message(message)
+
+    def log_rejected_message(self, why):
+        """Log a message that was dropped.
 
-    def note_refused(self, why):
-        """Put a dropped message on the time line."""
+        Args:
+            why: Reason of the rejection.
+        """
         self.timeline.note(EventKind.PEER_REFUSED, why=why)
 
     def start(self):
-        """Listen, and begin all periodic work."""
+        """Start listening and start all periodic work."""
         self.listen(self.settings.listen, self.callers)
         self.listen(
             self.settings.forward, self.forwarded, self.control, self.claims
@@ -196,13 +223,13 @@
         self.bus.start()
         self.bus.subscribe(CRASH_TOPIC)
         self.membership.start()
-        self.repeat(HEARTBEAT_EVERY, self.tick)
-        self.repeat(STALL_EVERY, self.measure_stall)
+        self.repeat(HEARTBEAT_INTERVAL_SECONDS, self.tick)
+        self.repeat(STALL_CHECK_INTERVAL_SECONDS, self.measure_stall)
         self.timeline.note(EventKind.STARTED, incarnation=self.incarnation)
 
     def listen(self, address, *apis):
         """Serve *apis* at *address*."""
-        router = Router(self.note_failure)
+        router = Router(self.report_failure)
         for api in apis:
             api.add_routes(router)
         site = LimitedSite(router.resource(), reactor=self.reactor)
@@ -211,58 +238,67 @@
             self.reactor.listenTCP(port, site, interface=host, backlog=512)
         )
 
-    def note_failure(self, reason):
-        """Write the trace of a handler that raised."""
+    def report_failure(self, reason):
+        """Log the traceback of a handler that raised.
+
+        Args:
+            reason: The `Failure`.
+        """
         log_failure(self.settings.host, reason)
 
     def repeat(self, interval, work):
-        """Call *work* every *interval* seconds, now first."""
-        loop = task.LoopingCall(self.guarded, work)
+        """Call *work* now and then every *interval* seconds."""
+        loop = task.LoopingCall(self.call_safely, work)
         loop.clock = self.reactor
-        loop.start(interval).addErrback(self.note_failure)
+        loop.start(interval).addErrback(self.report_failure)
         self.loops.append(loop)
 
-    def guarded(self, work):
-        """Call *work*; a failure must not end the periodic work.
+    def call_safely(self, work):
+        """Call *work* and log an exception that it raises.
 
-        A loop that stops at its first failure leaves a host that serves
-        but sends no heartbeat and hears of no change.
+        A `LoopingCall` stops at the first exception. The host would go on
+        serving requests, but it would send no heartbeats and receive no
+        changes.
         """
         try:
             work()
-        except Exception:  # noqa: BLE001 - all are written to the log
-            self.note_failure(Failure())
+        except Exception:  # noqa: BLE001 - every exception is logged
+            self.report_failure(Failure())
 
     def tick(self):
-        """Do the periodic work of a heartbeat interval."""
-        self.follower.tick()
-        self.config.tick()
+        """Do the periodic work of one heartbeat interval."""
+        self.host_list_sync.tick()
+        self.config_sync.tick()
         self.membership.tick()
-        self.state.crashes.tick()
+        self.state.crash_detector.tick()
         self.claims.tick()
         self.limits.tick()
-        self.note_trust()
+        self.log_trust_change()
         self.publish()
 
-    def note_trust(self):
-        """Put a change of the trust in the configuration on record."""
+    def log_trust_change(self):
+        """Log a change of the level of trust in the configuration."""
         level = self.state.trust.level(self.reactor.seconds())
         if level is self.trust_level:
             return
         self.trust_level = level
         kind = EventKind.CONFINED
-        if level is Level.FULL:
+        if level is TrustLevel.FULL:
             kind = EventKind.UNCONFINED
         self.timeline.note(kind)
 
     def publish(self):
-        """Keep the directory entry current."""
+        """Renew the directory entry of this host when it is due.
+
+        A host that is shutting down or has no configuration is not
+        published.
+        """
         if self.drain.leaving or not self.state.keeper.generation:
             return
         now = self.reactor.seconds()
         if now < self.publish_due:
             return
-        self.publish_due = now + HOSTS_TIME_TO_LIVE
+        self.publish_due = now + HOSTS_TTL_SECONDS
         entry = {
             "host": self.settings.host,
             "region": self.settings.region,
@@ -275,25 +311,28 @@
         work.addErrback(lambda reason: reason.trap(PlatformError))
 
     def measure_stall(self):
-        """Measure how late the loop calls back."""
+        """Measure the delay of the event loop and log a stall."""
         now = self.reactor.seconds()
-        self.state.trust.wake(now)
-        if self.stall_expected is not NOTHING:
-            late = now - self.stall_expected
-            self.stall = max(late, self.stall * 0.999)
-            if late > STALL_REPORT:
+        self.state.trust.record_wakeup(now)
+        if self.next_stall_check is not NOTHING:
+            delay = now - self.next_stall_check
+            self.longest_stall = max(delay, self.longest_stall * 0.999)
+            if delay > STALL_THRESHOLD_SECONDS:
                 self.timeline.note(
-                    EventKind.LOOP_STALL, seconds=round(late, 3)
+                    EventKind.LOOP_STALL, seconds=round(delay, 3)
                 )
-        self.stall_expected = now + STALL_EVERY
+        self.next_stall_check = now + STALL_CHECK_INTERVAL_SECONDS
 
     def entry_hosts(self):
-        """Return the entry hosts that callers should use, best first."""
+        """Return the entry hosts that callers should use.
+
+        Hosts of this data centre come first, then those of this region.
+        """
         now = self.reactor.seconds()
         rows = [
             self.host_row(entry)
             for host, entry in self.peers.entries.items()
-            if self.peers.usable(host, now)
+            if self.peers.is_usable(host, now)
         ]
         if not self.drain.leaving:
             rows.append(
@@ -304,18 +343,18 @@
                     "address": self.settings.listen,
                 }
             )
-        here = (self.settings.data_centre, self.settings.region)
+        own_location = (self.settings.data_centre, self.settings.region)
         rows.sort(
             key=lambda row: (
-                row["data_centre"] != here[0],
-                row["region"] != here[1],
+                row["data_centre"] != own_location[0],
+                row["region"] != own_location[1],
                 row["host"],
             )
         )
-        return {"hosts": rows, "ttl_s": HOSTS_TIME_TO_LIVE}
+        return {"hosts": rows, "ttl_s": HOSTS_TTL_SECONDS}
 
     def host_row(self, entry):
-        """Return what callers read of one host."""
+        """Return the fields of one host that callers receive."""
         return {
             "host": entry.host,
             "region": entry.region,
@@ -324,7 +363,7 @@
         }
 
     def status(self):
-        """Return the `HostStatus`."""
+        """Return the `HostStatus` of this gateway."""
         now = self.reactor.seconds()
         return HostStatus(
             host=self.settings.host,
@@ -333,7 +372,7 @@
             generation=self.state.keeper.generation,
             leaving=self.drain.leaving,
             active=self.drain.active,
-            live=sorted(self.peers.live(now)),
+            live=sorted(self.peers.live_hosts(now)),
             servers={
                 name: -1.0 if server.leaving else round(server.load(now), 2)
                 for name, server in self.state.table.servers.items()
@@ -342,16 +381,17 @@
                 name: round(now - summary.at, 3)
                 for name, summary in self.state.centres.summaries.items()
             },
-            stall_ms=round(self.stall * 1000, 1),
+            stall_ms=round(self.longest_stall * 1000, 1),
             trust=self.state.trust.level(now).value,
         )
 
     async def stop(self):
-        """Stop gracefully: no request in progress is cut.
+        """Shut down gracefully without aborting requests in progress.
 
-        First everyone is told, and the host goes on serving for as long
-        as callers may still hold its address; then it refuses what is
-        new and finishes what it has.
+        The host first announces the shutdown to the other hosts and
+        withdraws its directory entry. It continues to serve for
+        `drain_seconds`, since callers may still have its address cached.
+        Then it rejects new requests and waits for those in progress.
         """
         if self.drain.leaving:
             return
@@ -364,21 +404,21 @@
         withdrawn.addErrback(lambda reason: reason.trap(PlatformError))
         await task.deferLater(self.reactor, self.settings.drain_seconds)
         self.drain.refusing = True
-        await self.drain.finished()
+        await self.drain.wait_until_idle()
         await self.close()
         self.timeline.note(EventKind.STOPPED)
 
     async def close(self):
-        """Close all sockets and end all periodic work."""
+        """Close all sockets and stop all periodic work."""
         for loop in self.loops:
             if loop.running:
                 loop.stop()
-        self.config.stop()
+        self.config_sync.stop()
         for port in self.ports:
             await port.stopListening()
         self.bus.stop()
-        await self.pooled.pool.closeCachedConnections()
-        await self.fresh.pool.closeCachedConnections()
+        await self.pooled_agent.pool.closeCachedConnections()
+        await self.unpooled_agent.pool.closeCachedConnections()
 
 
 def seed_entry(peer):
@@ -394,7 +434,7 @@
 
 
 def run(settings):
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until the process receives a stop signal."""
     import time
 
     from twisted.internet import reactor
--- a/src/hyssopspring/net/control.py
+++ b/src/hyssopspring/net/control.py
@@ -1,4 +1,4 @@
-"""Signed pages that hosts and the administration ask each other for."""
+"""Signed control endpoints of gateways, and their client."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -14,29 +14,34 @@
 from .clients import NETWORK_FAILURES, read_body
 from .serving import header, respond, respond_error
 
-SIGNATURE = "hyssop-signature"
-PAGE_TIMEOUT = 1.0
-CONFIG_PAGE = "/config"
-STATUS_PAGE = "/status"
-EVENTS_PAGE = "/events"
-FAILURES = (*NETWORK_FAILURES, ProtocolError)
+SIGNATURE_HEADER = "hyssop-signature"
+
+REQUEST_TIMEOUT_SECONDS = 1.0
+"""Time limit of one request to a control endpoint."""
+
+CONFIG_PATH = "/config"
+STATUS_PATH = "/status"
+EVENTS_PATH = "/events"
+CLIENT_FAILURES = (*NETWORK_FAILURES, ProtocolError)
+"""Errors after which a host counts as not responding."""
 
 
 class HostStatus(msgspec.Struct, frozen=True, kw_only=True):
     """State of one gateway.
 
     Attributes:
-        host: Its name.
-        region: Its region.
-        data_centre: Its data centre.
-        generation: Configuration that it enforces.
-        leaving: Whether it is being stopped.
+        host: Name of the gateway.
+        region: Region of the gateway.
+        data_centre: Data centre of the gateway.
+        generation: Configuration generation that it enforces.
+        leaving: Whether it is shutting down.
         active: Requests in progress.
-        live: Live hosts of its data centre, as it sees them.
-        servers: Load by backend server; -1 for one that is leaving.
-        centres: Age in seconds of each other data centre's summary.
-        stall_ms: Longest time that its loop stood still lately.
-        trust: ``full``, or ``home only`` if it is confined.
+        live: Hosts of its data centre that it considers live.
+        servers: Load by backend server; -1 for one that is draining.
+        centres: Age of the latest summary in seconds, by data centre.
+        stall_ms: Longest recent stall of its event loop in milliseconds.
+        trust: ``full``, or ``home only`` if it serves only the
+            workspaces whose home is its region.
     """
 
     host: str
@@ -52,14 +57,14 @@
     trust: str
 
 
-class ControlPages:
-    """Serve the signed pages of one gateway.
+class ControlApi:
+    """Serve the signed control endpoints of one gateway.
 
     Args:
-        signer: The `Signer`.
-        keeper: The `GenerationKeeper`.
-        timeline: The `Timeline`.
-        status: Called for the `HostStatus`.
+        signer: `Signer` of requests and responses.
+        keeper: `GenerationKeeper` that has the configuration.
+        timeline: `Timeline`, the event log.
+        status: Callable that returns the `HostStatus`.
     """
 
     def __init__(self, signer, keeper, timeline, status):
@@ -69,54 +74,69 @@
         self.status = status
 
     def add_routes(self, router):
-        """Add the pages."""
-        router.add("GET", CONFIG_PAGE, self.show_config)
-        router.add("GET", STATUS_PAGE, self.show_status)
-        router.add("GET", EVENTS_PAGE, self.show_events)
+        """Register the routes of the endpoints with *router*."""
+        router.add("GET", CONFIG_PATH, self.show_config)
+        router.add("GET", STATUS_PATH, self.show_status)
+        router.add("GET", EVENTS_PATH, self.show_events)
 
     def show_config(self, request):
-        """Answer with the accepted configuration."""
-        self.answer(request, lambda: encode_accepted(self.keeper.accepted))
+        """Respond with the accepted configuration."""
+        self.respond_signed(
+            request, lambda: encode_accepted(self.keeper.accepted)
+        )
 
     def show_status(self, request):
-        """Answer with the `HostStatus`."""
-        self.answer(request, lambda: msgspec.json.encode(self.status()))
+        """Respond with the `HostStatus`."""
+        self.respond_signed(
+            request, lambda: msgspec.json.encode(self.status())
+        )
 
     def show_events(self, request):
-        """Answer with the kept events."""
-        asked = request.args.get(b"request", [b""])[0].decode()
-        self.answer(
+        """Respond with the stored events, optionally of one request."""
+        request_id = request.args.get(b"request", [b""])[0].decode()
+        self.respond_signed(
             request,
-            lambda: msgspec.json.encode(self.timeline.select(request=asked)),
+            lambda: msgspec.json.encode(
+                self.timeline.select(request=request_id)
+            ),
         )
 
-    def answer(self, request, make):
-        """Answer a signed request with a signed body."""
+    def respond_signed(self, request, make_body):
+        """Respond to a signed request with a signed body.
+
+        A request without a valid signature is rejected.
+
+        Args:
+            request: The HTTP request.
+            make_body: Callable that returns the body.
+        """
         try:
-            signature = b64decode(header(request, SIGNATURE))
+            signature = b64decode(header(request, SIGNATURE_HEADER))
         except Base64Error:
             signature = b""
         if not self.signer.verify(signature, request.uri):
-            respond_error(request, 403, "bad_signature", "bad signature")
+            respond_error(request, 403, "bad_signature", "invalid signature")
             return
-        body = make()
-        signed = b64encode(self.signer.sign(request.uri, body)).decode()
+        body = make_body()
+        body_signature = b64encode(
+            self.signer.sign(request.uri, body)
+        ).decode()
         respond(
             request,
             200,
             body,
             content_type="application/octet-stream",
-            headers=[(SIGNATURE, signed)],
+            headers=[(SIGNATURE_HEADER, body_signature)],
         )
 
 
-class PageReader:
-    """Read the signed pages of other hosts.
+class ControlClient:
+    """Query the signed control endpoints of other hosts.
 
     Args:
-        agent: The agent to use.
-        clock: The runtime's clock.
-        signer: The `Signer`.
+        agent: HTTP agent to use.
+        clock: Clock of the event loop.
+        signer: `Signer` of requests and responses.
     """
 
     def __init__(self, agent, clock, signer):
@@ -125,55 +145,79 @@
         self.signer = signer
 
     async def config(self, address):
-        """Return the `Accepted` that the host holds, or `NOTHING`."""
-        body = await self.read(address, CONFIG_PAGE)
+        """Return the `Accepted` of a host, or `NOTHING`."""
+        body = await self.fetch(address, CONFIG_PATH)
         return body if body is NOTHING else decode_accepted(body)
 
     async def status(self, address):
-        """Return the `HostStatus` of the host, or `NOTHING`."""
-        body = await self.read(address, STATUS_PAGE)
+        """Return the `HostStatus` of a host, or `NOTHING`."""
+        body = await self.fetch(address, STATUS_PATH)
         if body is NOTHING:
             return NOTHING
         return msgspec.json.decode(body, type=HostStatus)
 
     async def events(self, address, request=""):
-        """Return the events that the host keeps, or `NOTHING`."""
-        page = f"{EVENTS_PAGE}?request={request}" if request else EVENTS_PAGE
-        body = await self.read(address, page)
+        """Return the events that a host has stored, or `NOTHING`.
+
+        Args:
+            address: Address of the host for forwarded requests.
+            request: Identifier of a request to which the events are
+                limited, or an empty string for all.
+        """
+        path = f"{EVENTS_PATH}?request={request}" if request else EVENTS_PATH
+        body = await self.fetch(address, path)
         if body is NOTHING:
             return NOTHING
         return msgspec.json.decode(body, type=list[Event])
 
-    async def read(self, address, page):
-        """Return the body of a page, or `NOTHING` if there is no answer.
+    async def fetch(self, address, path):
+        """Return the body of a response, or `NOTHING` if there is none.
 
         Args:
             address: Address of the host for forwarded requests.
-            page: Path and query.
+            path: Path and query of the URL.
         """
-        work = defer.ensureDeferred(self.ask(address, page.encode()))
-        work.addTimeout(PAGE_TIMEOUT, self.clock)
+        work = defer.ensureDeferred(self.send_request(address, path.encode()))
+        work.addTimeout(REQUEST_TIMEOUT_SECONDS, self.clock)
         try:
             return await work
-        except FAILURES:
+        except CLIENT_FAILURES:
             return NOTHING
 
-    async def ask(self, address, page):
-        """Send one signed request and check the signed answer."""
-        signature = b64encode(self.signer.sign(page))
+    async def send_request(self, address, path):
+        """Send one signed request and verify the signed response.
+
+        Args:
+            address: Address of the host for forwarded requests.
+            path: Encoded path and query of the URL.
+
+        Returns:
+            The body of the response.
+
+        Raises:
+            ProtocolError: The status is not 200, or the signature is
+                invalid.
+        """
+        signature = b64encode(self.signer.sign(path))
         response = await self.agent.request(
             b"GET",
-            f"http://{address}".encode() + page,
-            Headers({SIGNATURE.encode(): [signature]}),
+            f"http://{address}".encode() + path,
+            Headers({SIGNATURE_HEADER.encode(): [signature]}),
         )
         body = await read_body(response)
-        values = response.headers.getRawHeaders(SIGNATURE.encode(), [b""])
+        values = response.headers.getRawHeaders(
+            SIGNATURE_HEADER.encode(), [b""]
+        )
         try:
-            signed = b64decode(values[0])
+            body_signature = b64decode(values[0])
         except Base64Error:
-            signed = b""
+            body_signature = b""
         if response.code != 200:
-            raise ProtocolError(f"{address} answered {response.code}")
-        if not self.signer.verify(signed, page, body):
-            raise ProtocolError(f"bad signature of {address}")
+            raise ProtocolError(
+                f"{address} responded with status {response.code}"
+            )
+        if not self.signer.verify(body_signature, path, body):
+            raise ProtocolError(
+                f"response of {address} has an invalid signature"
+            )
         return body
--- a/src/hyssopspring/net/dispatching.py
+++ b/src/hyssopspring/net/dispatching.py
@@ -1,4 +1,4 @@
-"""Carry out the plan of a request, attempt by attempt."""
+"""Execution of requests: attempts at servers and other data centres."""
 
 from dataclasses import dataclass, replace
 
@@ -11,11 +11,11 @@
 from ..core.plans import Finish, Forward, Plan, Serve
 from ..core.sentinels import NOTHING
 from ..core.servers import LoadReport
-from .backends import backend_call
-from .crashes import AttemptTimes
-from .forwarding import forward_call
+from .backends import build_backend_request
+from .crashdetection import AttemptTiming
+from .forwarding import build_forward_request
 
-BLAMED = (
+SERVER_FAILURE_REASONS = (
     Reason.CONNECT,
     Reason.REFUSED,
     Reason.CONNECTION_LOST,
@@ -24,10 +24,11 @@
     Reason.SERVER_ERROR,
     Reason.DEADLINE,
 )
+"""Reasons that count as a failure of the backend server."""
 
 
 class ReportedLoad(msgspec.Struct, frozen=True):
-    """Load report as backend servers send it."""
+    """Load report in the form that backend servers send."""
 
     incarnation: str
     sequence: int
@@ -38,27 +39,33 @@
 
 
 LOAD_DECODER = msgspec.json.Decoder(ReportedLoad)
-CENTRE_LOAD_DECODER = msgspec.json.Decoder(tuple[int, float, float])
+"""Decoder of the load reports of backend servers."""
+
+DATA_CENTRE_LOAD_DECODER = msgspec.json.Decoder(tuple[int, float, float])
+"""Decoder of the ``x-load`` header of a host: slots, load and wait."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostState:
-    """What the decisions on this host share.
+    """State that the components of a host share.
 
     Attributes:
         host: Name of this host.
         region: Its region.
         data_centre: Its data centre.
-        clock: The runtime's clock.
-        timeline: The `Timeline`.
+        clock: The clock (the reactor).
+        timeline: The `Timeline`, the event log.
         table: `ServerTable` of the data centre.
         centres: `CentreTable` of the other data centres.
         keeper: `GenerationKeeper` of the configuration.
         budget: `RetryBudget` of the host.
         rng: Random number generator.
-        policy: Name of the choice within the data centre.
-        trust: The `Trust` in the configuration.
-        crashes: `CallCrashes` of calls under which servers ended.
+        policy: Name of the policy that chooses among the servers of the data
+            centre.
+        trust: The `Trust`, which decides whether the configuration may be
+            out of date.
+        crash_detector: `CallCrashDetector` that blocks requests under which
+            servers crash.
     """
 
     host: str
@@ -73,15 +80,15 @@
     rng: object
     policy: str
     trust: object
-    crashes: object
+    crash_detector: object
 
 
 class Dispatcher:
-    """Carry out requests.
+    """Execute requests.
 
     Args:
         state: The `HostState`.
-        client: `BackendClient` for servers and peers.
+        client: `BackendClient` for backend servers and other hosts.
         signer: `Signer` for forwarded requests.
     """
 
@@ -92,16 +99,17 @@
         self.active = {}
 
     async def run(self, request, message, sink):
-        """Carry out one request.
+        """Execute one request.
 
         Args:
             request: The `Request`.
-            message: Its `Message`.
-            sink: Where the answer goes.
+            message: Its `CallerMessage`.
+            sink: `Sink` that the response is written to.
 
         Returns:
-            The final outcome. The sink has got the answer if it is
-            `Answered`, and nothing more is ever written to it.
+            The final outcome. If it is `Answered`, the whole response has
+            been written to the sink. Nothing is written to the sink
+            afterwards.
         """
         state = self.state
         plan = Plan(
@@ -114,17 +122,17 @@
             policy=state.policy,
         )
         try:
-            return await self.carry_out(plan, message, sink)
+            return await self.run_plan(plan, message, sink)
         finally:
-            state.crashes.done(request)
+            state.crash_detector.request_finished(request)
 
-    async def carry_out(self, plan, message, sink):
-        """Make the attempts of a plan; return the final outcome."""
+    async def run_plan(self, plan, message, sink):
+        """Run the attempts of a plan and return the final outcome."""
         state = self.state
         request = plan.request
         while True:
-            self.renew_rights(plan)
-            refusal = state.crashes.refusal(request, message)
+            self.refresh_permissions(plan)
+            refusal = state.crash_detector.refusal(request, message)
             if refusal is not NOTHING:
                 return combine([*plan.outcomes, refusal])
             step = plan.next(state.clock.seconds())
@@ -132,17 +140,18 @@
                 return step.outcome
             outcome = await self.attempt(plan.request, message, sink, step)
             if not isinstance(outcome, Answered):
-                self.note_failure(request, step, outcome)
+                self.log_failure(request, step, outcome)
             if sink.started and not isinstance(outcome, Answered):
                 return Unknown(outcome.reason)
             plan.record(outcome)
 
-    def renew_rights(self, plan):
-        """Let the next attempt go by the rights of this moment.
+    def refresh_permissions(self, plan):
+        """Update the plan to the permissions that are in force now.
 
-        A request may run for long. A right that was withdrawn meanwhile,
-        or that this host must not use while it is confined, would come
-        back with each retry if the plan kept what it began with.
+        A request may run for a long time. If the plan kept the permissions
+        that it was created with, each retry would use permissions that
+        have been revoked since, or that this host must not use while it
+        is confined to its home region.
         """
         state = self.state
         request = plan.request
@@ -158,59 +167,61 @@
         plan.request = replace(request, residency=residency)
 
     async def attempt(self, request, message, sink, step):
-        """Carry out one step and return its outcome."""
-        ensure(not sink.started, "an attempt after an answer has begun")
+        """Execute one step of the plan and return its outcome."""
+        ensure(
+            not sink.started, "attempt started after the response was started"
+        )
         if isinstance(step, Serve):
             return await self.serve(request, message, sink, step)
         return await self.forward(request, message, sink, step)
 
     async def serve(self, request, message, sink, step):
-        """Send an attempt to a backend server."""
+        """Send an attempt to a backend server and return its outcome."""
         state = self.state
         entry = step.server.entry
         attempt = f"{request.id}-{step.number}"
-        call = backend_call(
+        outgoing = build_backend_request(
             request, attempt, step.target, entry.address, message
         )
         state.timeline.note(
             EventKind.ATTEMPT, request=request.id, server=entry.name
         )
-        state.table.begin(entry.name)
-        began = state.clock.seconds()
+        state.table.record_attempt(entry.name)
+        started_at = state.clock.seconds()
         outcome = NOTHING
         try:
             outcome = await self.send(
                 request,
-                call,
+                outgoing,
                 sink,
-                lambda data: self.take_load(entry.name, data),
+                lambda data: self.apply_load_report(entry.name, data),
             )
         finally:
-            self.finish_serve(entry.name, outcome, sink, began)
-        times = AttemptTimes(
-            began=began,
-            predicted=step.server.queue_wait(began),
-            first_at=sink.first_at,
-            headed=sink.started,
+            self.record_end(entry.name, outcome, sink, started_at)
+        times = AttemptTiming(
+            started_at=started_at,
+            predicted=step.server.queue_wait(started_at),
+            first_body_at=sink.first_body_at,
+            head_received=sink.started,
             now=state.clock.seconds(),
         )
-        await state.crashes.look(
+        await state.crash_detector.check_attempt(
             request,
             message,
-            start_of(step.server),
+            instance_of(step.server),
             entry.address,
             outcome,
             times,
         )
         return outcome
 
-    async def send(self, request, call, sink, loaded):
-        """Send *call* and wait for its outcome, unless it is given up."""
+    async def send(self, request, outgoing, sink, on_load):
+        """Send *outgoing*, until `cancel_request`, and return its outcome."""
         work = self.client.send(
-            call,
+            outgoing,
             sink,
             deadline=request.deadline,
-            loaded=loaded,
+            on_load=on_load,
         )
         self.active[request.id] = work
         try:
@@ -218,18 +229,29 @@
         finally:
             self.active.pop(request.id, None)
 
-    def finish_serve(self, name, outcome, sink, began):
-        """Count the end of an attempt at a backend server."""
+    def record_end(self, name, outcome, sink, started_at):
+        """Record the end of an attempt in the server table.
+
+        Args:
+            name: Name of the backend server.
+            outcome: Outcome of the attempt, or `NOTHING` if it raised.
+            sink: The `Sink` of the response.
+            started_at: Time at which the attempt was sent.
+        """
         now = self.state.clock.seconds()
-        failed = getattr(outcome, "reason", NOTHING) in BLAMED
-        first = making = NOTHING
-        if sink.first_at is not NOTHING:
-            first = sink.first_at - began
-            making = now - sink.first_at
-        paused = self.state.table.finish(
-            name, now, failed=failed, first_token=first, making=making
+        failed = getattr(outcome, "reason", NOTHING) in SERVER_FAILURE_REASONS
+        first = transfer_seconds = NOTHING
+        if sink.first_body_at is not NOTHING:
+            first = sink.first_body_at - started_at
+            transfer_seconds = now - sink.first_body_at
+        retry_paused = self.state.table.record_attempt_end(
+            name,
+            now,
+            failed=failed,
+            first_token=first,
+            transfer_seconds=transfer_seconds,
         )
-        if paused:
+        if retry_paused:
             self.state.timeline.note(
                 EventKind.SERVER_PAUSED, server=name, reason=outcome.reason
             )
@@ -237,79 +259,81 @@
             self.state.table.mark_leaving(name)
 
     async def forward(self, request, message, sink, step):
-        """Send an attempt to a gateway of another data centre."""
+        """Forward an attempt to a gateway of another data centre."""
         state = self.state
         state.timeline.note(
             EventKind.FORWARD,
             request=request.id,
             data_centre=step.summary.data_centre,
         )
-        call = forward_call(request, message, step, state, self.signer)
+        outgoing = build_forward_request(
+            request, message, step, state, self.signer
+        )
 
-        def loaded(data):
-            self.take_centre_load(step, data)
+        def on_load(data):
+            self.apply_data_centre_load(step, data)
 
-        state.centres.begin(step.summary.data_centre)
-        return await self.send(request, call, sink, loaded)
+        state.centres.record_forward(step.summary.data_centre)
+        return await self.send(request, outgoing, sink, on_load)
 
-    def take_load(self, server, data):
-        """Take over a load report that rode on an answer."""
+    def apply_load_report(self, server, data):
+        """Apply a load report from the headers of a server's response."""
         try:
             load = LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
             return
-        self.state.table.take_report(
+        self.state.table.apply_report(
             server, reported_load(load, self.state.clock.seconds())
         )
 
-    def take_centre_load(self, step, data):
-        """Take over another data centre's load from its answer."""
+    def apply_data_centre_load(self, step, data):
+        """Apply the load of another data centre from its response."""
         try:
-            load = CENTRE_LOAD_DECODER.decode(data)
+            load = DATA_CENTRE_LOAD_DECODER.decode(data)
         except msgspec.DecodeError:
             return
-        self.state.centres.refresh(
+        self.state.centres.apply_load(
             step.summary.data_centre,
             step.target,
             load,
             self.state.clock.seconds(),
         )
 
-    def abandon(self, identifier):
-        """Give up the request since its caller has gone."""
+    def cancel_request(self, identifier):
+        """Cancel a request whose caller has disconnected."""
         work = self.active.pop(identifier, NOTHING)
         if work is not NOTHING:
             work.cancel()
 
-    def note_failure(self, request, step, outcome):
-        """Put the end of a failed attempt on the time line."""
-        place = step.server.entry.name if isinstance(step, Serve) else ""
+    def log_failure(self, request, step, outcome):
+        """Log the end of a failed attempt to the event log."""
+        destination = step.server.entry.name if isinstance(step, Serve) else ""
         if isinstance(step, Forward):
-            place = step.summary.data_centre
+            destination = step.summary.data_centre
         self.state.timeline.note(
             EventKind.ATTEMPT_ENDED,
             request=request.id,
-            at=place,
+            at=destination,
             outcome=type(outcome).__name__,
             reason=outcome.reason,
         )
 
 
-def start_of(server):
-    """Return the name of this start of a server."""
+def instance_of(server):
+    """Return the identifier of a server's running instance."""
     if server.report is NOTHING:
         return server.entry.name
     return f"{server.entry.name}/{server.report.incarnation}"
 
 
 def reported_load(load, now):
-    """Return the `LoadReport` of a server's own report."""
+    """Return the `LoadReport` of a report that the server itself sent."""
     short = short_id(load.incarnation)
     return replace(load_report(load, now), incarnation=short)
 
 
 def load_report(load, now):
-    """Return the `LoadReport` of a report that arrived at *now*."""
+    """Return the `LoadReport` of a report that was received at *now*."""
     return LoadReport(
         incarnation=load.incarnation,
         sequence=load.sequence,
--- a/src/hyssopspring/net/draining.py
+++ b/src/hyssopspring/net/draining.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: count what is in progress and wait for it."""
+"""Graceful shutdown: wait for the requests in progress."""
 
 from contextlib import contextmanager
 
@@ -8,40 +8,42 @@
 
 
 class Drain:
-    """Track requests in progress, and whether new ones are refused.
+    """Track the requests in progress and the state of the shutdown.
 
     Attributes:
-        leaving: Whether the host has told others that it leaves.
+        leaving: Whether the host reports to others that it is shutting down.
         refusing: Whether new requests are refused.
-        active: Requests in progress.
+        active: Number of requests in progress.
+        idle_waiter: Deferred that fires when no request is in progress, or
+            `NOTHING` if nobody waits.
     """
 
     def __init__(self):
         self.leaving = False
         self.refusing = False
         self.active = 0
-        self.waiting = NOTHING
+        self.idle_waiter = NOTHING
 
     @contextmanager
-    def working(self):
-        """Count one request for as long as the block runs."""
+    def track_request(self):
+        """Count one request while the block runs."""
         self.active += 1
         try:
             yield
         finally:
             self.active -= 1
-            self.check()
+            self.notify_if_idle()
 
-    def check(self):
-        """Tell who waits once nothing is in progress."""
-        if self.active or self.waiting is NOTHING:
+    def notify_if_idle(self):
+        """Fire `idle_waiter` if no request is in progress."""
+        if self.active or self.idle_waiter is NOTHING:
             return
-        waiting, self.waiting = self.waiting, NOTHING
-        waiting.callback(None)
-
-    def finished(self):
-        """Return a deferred that fires when nothing is in progress."""
-        self.waiting = defer.Deferred()
-        done = self.waiting
-        self.check()
+        idle_waiter, self.idle_waiter = self.idle_waiter, NOTHING
+        idle_waiter.callback(None)
+
+    def wait_until_idle(self):
+        """Return a deferred that fires when no request is in progress."""
+        self.idle_waiter = defer.Deferred()
+        done = self.idle_waiter
+        self.notify_if_idle()
         return done
--- a/src/hyssopspring/net/forwarding.py
+++ b/src/hyssopspring/net/forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that one host forwards to another data centre."""
+"""Forwarding of requests to hosts of other data centres."""
 
 from base64 import b64decode, b64encode
 from binascii import Error as Base64Error
@@ -11,48 +11,48 @@
 from ..core.outcomes import Answered, NotRun, Reason
 from ..core.requests import Priority, Request, Target, TargetKind
 from ..core.sentinels import NOTHING
-from .answers import Sink, read_outcome, respond_outcome
-from .backends import Call, Message
-from .messages import ENCODER, ForwardedHead, decode_head
+from .answers import Sink, parse_outcome, respond_outcome
+from .backends import CallerMessage, OutgoingRequest
+from .messages import ENCODER, ForwardedRequestHead, decode_head
 from .serving import header
 
-HEAD = b"hyssop-head"
-SIGNATURE = b"hyssop-signature"
+HEAD_HEADER = b"hyssop-head"
+SIGNATURE_HEADER = b"hyssop-signature"
 FORWARD_PATH = "/forward"
 
 
-def forward_call(request, message, step, state, signer):
-    """Return the `Call` that forwards *request*.
+def build_forward_request(request, message, step, state, signer):
+    """Return the signed `OutgoingRequest` that forwards *request*.
 
     Args:
         request: The `Request`.
-        message: Its `Message`.
-        step: The `Forward` step.
+        message: Its `CallerMessage`.
+        step: The `Forward` step of the plan.
         state: The `HostState`.
         signer: The `Signer`.
     """
-    head = ENCODER.encode(make_head(request, message, step, state))
+    head = ENCODER.encode(build_head(request, message, step, state))
     body = message.body_for(step.target, request.target)
     signature = signer.sign(head, body)
-    return Call(
+    return OutgoingRequest(
         id=f"{request.id}-{step.number}",
         method=b"POST",
         url=f"http://{step.address}{FORWARD_PATH}".encode(),
         headers=(
             (b"content-type", message.content_type),
-            (HEAD, b64encode(head)),
-            (SIGNATURE, b64encode(signature)),
+            (HEAD_HEADER, b64encode(head)),
+            (SIGNATURE_HEADER, b64encode(signature)),
         ),
         body=body,
         stream=request.stream,
         repeatable=request.repeatable,
-        refusal=read_outcome,
+        refusal=parse_outcome,
     )
 
 
-def make_head(request, message, step, state):
-    """Return the `ForwardedHead` of a request for another host."""
-    return ForwardedHead(
+def build_head(request, message, step, state):
+    """Return the `ForwardedRequestHead` that describes a request."""
+    return ForwardedRequestHead(
         id=f"{request.id}-{step.number}",
         attempt=step.number,
         path=[*request.path, state.host],
@@ -80,7 +80,7 @@
         state: The `HostState`.
         dispatcher: The `Dispatcher`.
         signer: The `Signer`.
-        drain: The `Drain`.
+        drain: The `Drain` that counts requests in progress.
     """
 
     def __init__(self, state, dispatcher, signer, drain):
@@ -90,13 +90,13 @@
         self.drain = drain
 
     def add_routes(self, router):
-        """Add the path for forwarded requests."""
+        """Register the route for forwarded requests."""
         router.add("POST", FORWARD_PATH, self.serve)
 
     async def serve(self, http_request):
-        """Serve one forwarded request on this data centre's servers."""
+        """Serve one forwarded request on the servers of this data centre."""
         try:
-            head, body = self.read(http_request)
+            head, body = self.authenticate(http_request)
         except ProtocolError as error:
             self.state.timeline.note(EventKind.PEER_REFUSED, why=error)
             respond_outcome(http_request, NotRun(Reason.BAD_PEER))
@@ -107,11 +107,11 @@
             [
                 (b"hyssop-outcome", b"answered"),
                 (b"x-request-id", head.id.encode()),
-                (b"x-load", self.load_of(head)),
+                (b"x-load", self.encode_load(head)),
             ],
         )
         request = forwarded_request(head, self.state)
-        refusal = self.refuse(request)
+        refusal = self.find_refusal(request)
         if refusal is not NOTHING:
             self.state.timeline.note(
                 EventKind.FORWARD_REFUSED,
@@ -120,53 +120,60 @@
             )
             sink.fail(refusal)
             return
-        message = Message(
+        message = CallerMessage(
             head.method.encode(),
             head.resource.encode("latin-1"),
             header(http_request, "content-type").encode(),
             body,
         )
-        await self.carry_out(http_request, request, message, sink)
+        await self.execute(http_request, request, message, sink)
 
-    def load_of(self, head):
-        """Return slots, load and wait of the target, for the sender."""
+    def encode_load(self, head):
+        """Return the slots, load and wait of the target, encoded as JSON."""
         target = Target(TargetKind(head.kind), head.target)
-        totals = self.state.table.summary(self.state.clock.seconds())
+        totals = self.state.table.summarize(self.state.clock.seconds())
         return msgspec.json.encode(totals.get(target, (0, 0.0, 0.0)))
 
-    async def carry_out(self, http_request, request, message, sink):
-        """Dispatch the request and send its outcome back."""
-        gone = http_request.notifyFinish()
-        gone.addErrback(lambda _: self.dispatcher.abandon(request.id))
-        with self.drain.working():
+    async def execute(self, http_request, request, message, sink):
+        """Dispatch the request and respond with its outcome."""
+        disconnected = http_request.notifyFinish()
+        disconnected.addErrback(
+            lambda _: self.dispatcher.cancel_request(request.id)
+        )
+        with self.drain.track_request():
             outcome = await self.dispatcher.run(request, message, sink)
             if isinstance(outcome, Answered):
                 sink.finish()
             else:
                 sink.fail(outcome)
 
-    def read(self, http_request):
-        """Check the signature; return the head and the body.
+    def authenticate(self, http_request):
+        """Check the signature and return the head and the body.
 
-        Callers reach the same network. Without the signature one could
-        claim any workspace and any residency for itself.
+        Callers can reach the same network. Without the signature, a
+        caller could claim any workspace and any residency.
 
         Raises:
-            ProtocolError: The request is not one of our hosts'.
+            ProtocolError: The request was not signed by another host of
+                the deployment, or its head is malformed.
         """
         http_request.content.seek(0)
         body = http_request.content.read()
         try:
-            head = b64decode(http_request.getHeader(HEAD) or b"")
-            signature = b64decode(http_request.getHeader(SIGNATURE) or b"")
+            head = b64decode(http_request.getHeader(HEAD_HEADER) or b"")
+            signature = b64decode(
+                http_request.getHeader(SIGNATURE_HEADER) or b""
+            )
         except Base64Error as error:
-            raise ProtocolError(f"bad encoding: {error}") from None
+            raise ProtocolError(
+                f"base64 header of a forwarded request is invalid: {error}"
+            ) from None
         if not self.signer.verify(signature, head, body):
-            raise ProtocolError("bad signature of a forwarded request")
+            raise ProtocolError("signature of a forwarded request is invalid")
         return decode_head(head), body
 
-    def refuse(self, request):
-        """Return why the request is not served here, or `NOTHING`."""
+    def find_refusal(self, request):
+        """Return the `NotRun` that refuses the request, or `NOTHING`."""
         if self.drain.refusing:
             return NotRun(Reason.LEAVING)
         permitted = self.state.keeper.enforced.permitted(
@@ -188,8 +195,9 @@
 def forwarded_request(head, state):
     """Return the `Request` of a forwarded request.
 
-    It gets one attempt: the host that the caller asked counts attempts,
-    and two hosts that both retry would multiply them.
+    It has a single attempt: the host that received the request from the
+    caller counts the attempts, and if both hosts retried, the attempts
+    would multiply.
     """
     target = Target(TargetKind(head.kind), head.target)
     return Request(
--- a/src/hyssopspring/net/limiting.py
+++ b/src/hyssopspring/net/limiting.py
@@ -1,4 +1,7 @@
-"""Limits of workspaces over all hosts: the gate and the ledgers."""
+"""Workspace limits over all hosts: admission and the ledgers of holdings.
+
+A holding is the share of a limit that one host may use.
+"""
 
 from twisted.internet import defer
 from twisted.python.failure import Failure
@@ -6,80 +9,107 @@
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, ProtocolError
 from ..core.outcomes import NotRun, Reason
-from ..core.pacing import Pacer
+from ..core.pacing import TokenBucket
 from ..core.sentinels import NOTHING
 from ..core.shares import (
-    HOME_FLOOR,
-    LEDGERS,
+    HOME_MIN_SHARE,
+    LEDGER_COUNT,
     NO_HOLDING,
-    WHOLE,
+    TOTAL_UNITS,
     Ledger,
+    ShareDemand,
     Usage,
-    Want,
+    allocate,
     decode_ledger,
     encode_ledger,
     ledger_of,
-    settle,
 )
 from ..stores.keyvalues import Applied
 
 SHARES_PREFIX = "/hyssop/shares/"
 FLEET_WRITES_PER_SECOND = 100.0
-WRITE_BURST = LEDGERS
-ASK_AGAIN = 1.0
-ADJUST = 0.2
-RENEW_BEFORE = 3600.0
-MEASURE_EVERY = 1.0
-TRIES = 4
-REASONS = {
+"""Limit on ledger writes of all hosts together, divided among the hosts."""
+
+WRITE_BURST = LEDGER_COUNT
+"""Ledger writes of one host that may follow each other without a pause; one
+for each ledger."""
+
+MIN_UPDATE_INTERVAL_SECONDS = 1.0
+"""Shortest interval, per workspace, between two ledger updates that are
+triggered by a rejected request."""
+
+MIN_RELATIVE_CHANGE = 0.2
+"""Difference between demand and holding, relative to the holding, above which
+the holding is updated."""
+
+RENEW_BEFORE_EXPIRY_SECONDS = 3600.0
+"""Remaining validity below which a holding is renewed."""
+
+TICK_INTERVAL_SECONDS = 1.0
+"""Interval between two calls of `WorkspaceLimiter.tick`, over which demand is
+measured."""
+
+MAX_WRITE_ATTEMPTS = 4
+"""Compare-and-swap attempts for one update of a ledger."""
+
+REASON_BY_LIMIT = {
     "concurrent": Reason.CONCURRENCY_LIMIT,
     "requests_per_second": Reason.RATE_LIMIT,
 }
 
 
-class Limits:
-    """Admit requests within this host's share of their limits.
+class WorkspaceLimiter:
+    """Admit requests within this host's holding of each workspace's limits.
 
     Args:
-        state: The `HostState`.
-        peers: The `PeerTable`.
-        store: The key-value client.
-        wall: Callable that returns the wall clock in seconds.
-        failed: Called with the failure of work in the background.
+        state: `HostState` of this host.
+        peers: `PeerTable` of the other hosts.
+        store: Client of the key-value service.
+        wall: Callable that returns the wall-clock time in seconds.
+        on_failure: Called with the failure of a background update.
+
+    Attributes:
+        usages: `Usage` by workspace.
+        waiting_by_ledger: Deferreds that wait for an update in progress,
+            by ledger number.
+        pacer: `TokenBucket` that limits the ledger writes of this host.
     """
 
-    def __init__(self, state, peers, store, wall, *, failed):
+    def __init__(self, state, peers, store, wall, *, on_failure):
         self.state = state
         self.peers = peers
         self.store = store
         self.wall = wall
-        self.failed = failed
+        self.on_failure = on_failure
         self.usages = {}
-        self.working = {}
-        self.pacer = Pacer(FLEET_WRITES_PER_SECOND, WRITE_BURST)
+        self.waiting_by_ledger = {}
+        self.pacer = TokenBucket(FLEET_WRITES_PER_SECOND, WRITE_BURST)
 
-    async def carry_out(self, request, run):
-        """Run the request if its workspace's limits allow it.
+    async def intercept(self, request, run):
+        """Run the request if the limits of its workspace permit it.
 
         Args:
             request: The `Request`.
-            run: Coroutine function that carries it out.
+            run: Coroutine function that runs it.
+
+        Returns:
+            The outcome of *run*, or `NotRun` with the limit as reason.
         """
         limits = self.limits(request.workspace)
         if limits is NOTHING:
             return await run()
         usage = self.usages.setdefault(request.workspace, Usage())
-        usage.asked += 1
-        refused = await self.admit(request.workspace, usage, limits)
-        if refused is not NOTHING:
-            return NotRun(REASONS[refused])
+        usage.requested += 1
+        exceeded_limit = await self.admit(request.workspace, usage, limits)
+        if exceeded_limit is not NOTHING:
+            return NotRun(REASON_BY_LIMIT[exceeded_limit])
         try:
             return await run()
         finally:
             usage.active -= 1
 
     def limits(self, workspace):
-        """Return the `Limits` of a workspace, or `NOTHING` for none."""
+        """Return the `Limits` of a workspace, or `NOTHING` if it has none."""
         rights = self.state.keeper.enforced.workspaces.get(workspace)
         if rights is None:
             return NOTHING
@@ -89,146 +119,200 @@
         return limits
 
     async def admit(self, workspace, usage, limits):
-        """Take from the share; ask for a larger one first if it is due."""
+        """Admit one request within this host's holding of the limits.
+
+        If the holding is exhausted, the ledger is updated and admission
+        is tried again. That happens at most once per
+        `MIN_UPDATE_INTERVAL_SECONDS`, unless an update of the ledger is
+        already in progress, which is then awaited.
+
+        Args:
+            workspace: Name of the workspace.
+            usage: Its `Usage`.
+            limits: Its `Limits`.
+
+        Returns:
+            `NOTHING` if the request is admitted, else the name of the
+            limit.
+        """
         now = self.state.clock.seconds()
-        number = ledger_of(workspace)
-        refused = usage.take(limits, now, self.wall())
-        lately = now - usage.tried_at < ASK_AGAIN
-        if refused is NOTHING or (lately and number not in self.working):
-            return refused
-        usage.tried_at = now
-        await self.settle(number)
-        return usage.take(limits, self.state.clock.seconds(), self.wall())
+        ledger_number = ledger_of(workspace)
+        exceeded_limit = usage.try_start(limits, now, self.wall())
+        is_recent = now - usage.last_request_at < MIN_UPDATE_INTERVAL_SECONDS
+        if exceeded_limit is NOTHING or (
+            is_recent and ledger_number not in self.waiting_by_ledger
+        ):
+            return exceeded_limit
+        usage.last_request_at = now
+        await self.update_ledger(ledger_number)
+        return usage.try_start(limits, self.state.clock.seconds(), self.wall())
 
     def tick(self):
-        """Adapt shares to demand; called once a second."""
+        """Adapt the holdings to demand; called once per second."""
         hosts = len(self.peers.entries) + 1
         self.pacer.rate = FLEET_WRITES_PER_SECOND / hosts
         for usage in self.usages.values():
-            usage.measure(MEASURE_EVERY)
+            usage.update_demand(TICK_INTERVAL_SECONDS)
         for workspace in self.state.keeper.enforced.workspaces:
-            if self.floor(workspace) and self.limits(workspace):
+            if self.min_units(workspace) and self.limits(workspace):
                 self.usages.setdefault(workspace, Usage())
         due = {
             ledger_of(workspace)
             for workspace, usage in self.usages.items()
             if self.is_due(workspace, usage)
         }
-        for number in sorted(due):
-            defer.ensureDeferred(self.settle(number))
+        for ledger_number in sorted(due):
+            defer.ensureDeferred(self.update_ledger(ledger_number))
 
     def is_due(self, workspace, usage):
-        """Whether a holding should change by much, or be renewed."""
+        """Whether a holding is due for renewal or differs much from demand.
+
+        Differences of up to 0.5 % of the whole limit are ignored.
+        """
         limits = self.limits(workspace)
         wanted = 0
         if limits is not NOTHING:
-            wanted = usage.wanted(limits, self.floor(workspace))
-        if usage.units and usage.until - self.wall() < RENEW_BEFORE:
+            wanted = usage.wanted(limits, self.min_units(workspace))
+        if (
+            usage.units
+            and usage.expires_at - self.wall() < RENEW_BEFORE_EXPIRY_SECONDS
+        ):
             return True
-        gap = abs(wanted - usage.units)
-        return gap > max(ADJUST * usage.units, WHOLE // 200)
+        difference = abs(wanted - usage.units)
+        return difference > max(
+            MIN_RELATIVE_CHANGE * usage.units, TOTAL_UNITS // 200
+        )
 
-    def floor(self, workspace):
-        """Return the units that a host of the home region keeps.
+    def min_units(self, workspace):
+        """Return the minimum units that a host of the home region retains.
 
-        Without them a home region that is cut off could not serve its
-        own callers until it reaches the platform again.
+        Without a minimum, a home region that is partitioned from the
+        platform could not serve its own callers until the connection is
+        restored.
         """
         rights = self.state.keeper.enforced.workspaces.get(workspace)
         if rights is None or rights.home != self.state.region:
             return 0
-        at_home = 1 + sum(
+        home_hosts = 1 + sum(
             1
             for entry in self.peers.entries.values()
             if entry.region == self.state.region
         )
-        return int(WHOLE * HOME_FLOOR / at_home)
+        return int(TOTAL_UNITS * HOME_MIN_SHARE / home_hosts)
 
-    def settle(self, number):
-        """Bring one ledger up to date; return a deferred.
+    def update_ledger(self, ledger_number):
+        """Update one ledger and return a deferred.
 
-        Those who ask while the work is going on share its result.
+        Callers that request an update while one is in progress wait for
+        that one.
         """
-        if number in self.working:
+        if ledger_number in self.waiting_by_ledger:
             waiting = defer.Deferred()
-            self.working[number].append(waiting)
+            self.waiting_by_ledger[ledger_number].append(waiting)
             return waiting
-        self.working[number] = []
-        work = defer.ensureDeferred(self.settle_ledger(number))
-        return work.addBoth(self.settled, number)
+        self.waiting_by_ledger[ledger_number] = []
+        work = defer.ensureDeferred(self.write_ledger(ledger_number))
+        return work.addBoth(self.on_ledger_updated, ledger_number)
 
-    def settled(self, result, number):
-        """Wake all who waited for the same ledger."""
+    def on_ledger_updated(self, result, ledger_number):
+        """Resume all callers that wait for the update of a ledger.
+
+        Returns:
+            The result of the update, or `None` after a failure, which is
+            reported to `on_failure`.
+        """
         if isinstance(result, Failure):
-            self.failed(result)
+            self.on_failure(result)
             result = None
-        for waiting in self.working.pop(number):
+        for waiting in self.waiting_by_ledger.pop(ledger_number):
             waiting.callback(None)
         return result
 
-    async def settle_ledger(self, number):
-        """Write what this host wants, and use what it got."""
-        for _ in range(TRIES):
-            if not self.pacer.take(self.state.clock.seconds()):
+    async def write_ledger(self, ledger_number):
+        """Write this host's demand and use the holdings that result.
+
+        The update is abandoned if the rate limit of writes is exceeded or
+        the key-value service fails; a later tick repeats it.
+        """
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if not self.pacer.try_take(self.state.clock.seconds()):
                 return
             try:
-                if await self.swap(number):
+                if await self.try_write(ledger_number):
                     return
             except (KeyValueError, ProtocolError):
                 return
 
-    async def swap(self, number):
-        """Make one try; return whether no further one is needed.
+    async def try_write(self, ledger_number):
+        """Make one attempt to write a ledger.
+
+        A holding that shrinks is reduced on this host before the write,
+        and stays reduced if the write fails. A holding that grows is used
+        only after the write is confirmed. Thus the holdings in use never
+        exceed the limit.
 
-        What shrinks is used less before it is written, and stays so if
-        the write fails. What grows is used only after the write.
+        Returns:
+            Whether the ledger is up to date, so that no further attempt
+            is needed.
         """
-        key = f"{SHARES_PREFIX}{number}"
+        key = f"{SHARES_PREFIX}{ledger_number}"
         entry = await self.store.get(key)
-        before, revision = Ledger(), 0
+        old_ledger, revision = Ledger(), 0
         if entry is not NOTHING:
-            before, revision = decode_ledger(entry.value), entry.revision
-        after = settle(
-            before, self.state.host, self.all_wants(number), self.wall()
+            old_ledger, revision = decode_ledger(entry.value), entry.revision
+        new_ledger = allocate(
+            old_ledger,
+            self.state.host,
+            self.own_demands(ledger_number),
+            self.wall(),
         )
-        held = self.own_holdings(number, after)
-        for workspace, holding in held.items():
+        holdings = self.own_holdings(ledger_number, new_ledger)
+        for workspace, holding in holdings.items():
             usage = self.usages[workspace]
             usage.units = min(usage.units, holding.units)
-        if after == before:
+        if new_ledger == old_ledger:
             return True
-        result = await self.store.swap(key, encode_ledger(after), revision)
+        result = await self.store.swap(
+            key, encode_ledger(new_ledger), revision
+        )
         if not isinstance(result, Applied):
             return False
-        for workspace, holding in held.items():
+        for workspace, holding in holdings.items():
             usage = self.usages[workspace]
             usage.units = holding.units
-            usage.until = holding.until
-        self.state.timeline.note(EventKind.SHARES_CHANGED, ledger=number)
+            usage.expires_at = holding.expires_at
+        self.state.timeline.note(
+            EventKind.SHARES_CHANGED, ledger=ledger_number
+        )
         return True
 
-    def all_wants(self, number):
-        """Return the `Want` by workspace for one ledger."""
+    def own_demands(self, ledger_number):
+        """Return this host's `ShareDemand` by workspace for one ledger."""
         return {
-            workspace: self.wants(workspace, usage)
+            workspace: self.own_demand(workspace, usage)
             for workspace, usage in self.usages.items()
-            if ledger_of(workspace) == number
+            if ledger_of(workspace) == ledger_number
         }
 
-    def own_holdings(self, number, ledger):
-        """Return this host's `Holding` by workspace in one ledger."""
+    def own_holdings(self, ledger_number, ledger):
+        """Return this host's `Holding` by workspace in one ledger.
+
+        Args:
+            ledger_number: Number of the ledger.
+            ledger: The `Ledger`.
+        """
         return {
             workspace: ledger.holdings[workspace].get(
                 self.state.host, NO_HOLDING
             )
             for workspace in self.usages
-            if ledger_of(workspace) == number
+            if ledger_of(workspace) == ledger_number
         }
 
-    def wants(self, workspace, usage):
-        """Return the `Want` of this host for a workspace."""
+    def own_demand(self, workspace, usage):
+        """Return this host's `ShareDemand` for a workspace."""
         limits = self.limits(workspace)
         if limits is NOTHING:
-            return Want()
-        units = usage.wanted(limits, self.floor(workspace))
-        return Want(units, usage.busy(limits))
+            return ShareDemand()
+        units = usage.wanted(limits, self.min_units(workspace))
+        return ShareDemand(units, usage.busy_units(limits))
--- a/src/hyssopspring/net/membership.py
+++ b/src/hyssopspring/net/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats, load reports and summaries, in and out."""
+"""Exchange of heartbeats, load reports and data centre summaries."""
 
 import msgspec
 from twisted.internet import defer
@@ -6,41 +6,60 @@
 from ..core.events import EventKind
 from ..core.exceptions import NoAnswerError, ProtocolError
 from ..core.hashing import short_id
-from ..core.membership import HEARTBEAT_EVERY
+from ..core.membership import HEARTBEAT_INTERVAL_SECONDS
 from ..core.placement import CentreSummary
 from ..core.requests import Target, TargetKind
 from ..core.sentinels import NOTHING
-from .bus import SUMMARY_TOPIC, beat_topic
+from .bus import SUMMARY_TOPIC, heartbeat_topic
 from .clients import fetch
 from .dispatching import LOAD_DECODER, load_report, reported_load
 from .messages import (
     ENCODER,
+    DataCentreSummaryMessage,
     Heartbeat,
     ServerLoad,
-    Summary,
     TargetLoad,
 )
 
-POLL_AFTER = 1.5
-POLL_TIMEOUT = 1.0
+MAX_REPORT_AGE_SECONDS = 1.5
+"""Age of a backend server's last load report from which the server is
+polled."""
+
+POLL_TIMEOUT_SECONDS = 1.0
+"""Time limit of one load poll."""
+
 SUMMARY_BYTES_PER_SECOND = 1000
-SUMMARY_EVERY = 1.0
-ANNOUNCED_SUMMARY = 5.0
+"""Limit on what this host sends in summaries to all receivers together."""
+
+MIN_SUMMARY_INTERVAL_SECONDS = 1.0
+"""Shortest interval between two summaries."""
+
+MAX_ANNOUNCED_INTERVAL_SECONDS = 5.0
+"""Longest summary interval with which a new configuration triggers a summary
+at once. Beyond it, summaries are large or have many receivers, so that an
+additional one costs too much bandwidth."""
 
 
 class Membership:
     """Exchange control messages with the other hosts.
 
     Args:
-        state: The `HostState`.
-        peers: The `PeerTable`.
-        bus: The `Bus`.
-        agent: Agent for load polls.
-        drain: The `Drain`.
-        incarnation: Changes each time that the process starts.
-        forward_address: Own address for forwarded requests.
-        newer: Called with host name and generation when a peer has a
-            newer configuration.
+        state: `HostState` of this host.
+        peers: `PeerTable` of the other hosts.
+        bus: `Bus` that sends the messages.
+        agent: HTTP agent for load polls.
+        drain: `Drain` that tracks the shutdown of this host.
+        incarnation: Identifier that changes with each start of the
+            process.
+        forward_address: Address of this host for forwarded requests.
+        on_newer_generation: Called with host name and generation when a
+            peer has a newer configuration.
+
+    Attributes:
+        sequence: Number of the last message sent.
+        summary_due: Time at which the next summary is due.
+        summary_interval: Current interval between summaries in seconds.
+        polls: Count of load polls sent.
     """
 
     def __init__(
@@ -53,7 +72,7 @@
         *,
         incarnation,
         forward_address,
-        newer,
+        on_newer_generation,
     ):
         self.state = state
         self.peers = peers
@@ -62,38 +81,39 @@
         self.drain = drain
         self.incarnation = incarnation
         self.forward_address = forward_address
-        self.newer = newer
+        self.on_newer_generation = on_newer_generation
         self.sequence = 0
         self.summary_due = 0.0
-        self.summary_every = SUMMARY_EVERY
+        self.summary_interval = MIN_SUMMARY_INTERVAL_SECONDS
         self.polls = 0
 
     def start(self):
-        """Subscribe to what this host needs to hear."""
-        self.bus.subscribe(beat_topic(self.state.data_centre))
+        """Subscribe to the topics that this host needs."""
+        self.bus.subscribe(heartbeat_topic(self.state.data_centre))
         self.bus.subscribe(SUMMARY_TOPIC)
 
     def tick(self):
-        """Do what is due; called once a heartbeat interval."""
+        """Do the periodic work; called once per heartbeat interval."""
         self.bus.connect(self.peers.control_addresses())
         self.send_heartbeat()
         now = self.state.clock.seconds()
-        if self.peers.reports(now) and now >= self.summary_due:
+        if self.peers.is_reporter(now) and now >= self.summary_due:
             self.send_summary(now)
         return self.poll_servers(now)
 
     def announce(self):
-        """Tell the others at once of a new configuration.
+        """Announce a new configuration to the other hosts immediately.
 
-        Other data centres have watchers of their own, so a summary ahead
-        of its time is sent only where it costs little.
+        Other data centres have hosts of their own that watch the
+        platform, so a summary is sent ahead of schedule only while
+        summaries are frequent and therefore cheap.
         """
-        if self.summary_every <= ANNOUNCED_SUMMARY:
+        if self.summary_interval <= MAX_ANNOUNCED_INTERVAL_SECONDS:
             self.summary_due = 0.0
         self.send_heartbeat()
 
     def send_heartbeat(self):
-        """Tell the hosts of this data centre how things stand."""
+        """Send the state of this host to its data centre."""
         now = self.state.clock.seconds()
         millis, counter = self.state.timeline.clock.tick()
         self.sequence += 1
@@ -107,21 +127,28 @@
             generation=self.state.keeper.generation,
             leaving=self.drain.leaving,
             contact=self.state.trust.in_contact(now),
-            servers=self.fresh_reports(now),
+            servers=self.recent_reports(now),
             departing=[
                 name
                 for name, server in self.state.table.servers.items()
                 if server.leaving
             ],
         )
-        self.bus.publish(beat_topic(self.state.data_centre), message)
+        self.bus.publish(heartbeat_topic(self.state.data_centre), message)
+
+    def recent_reports(self, now):
+        """Return the load reports to pass on in the next heartbeat.
 
-    def fresh_reports(self, now):
-        """Return the reports of the last interval, to pass them on."""
+        These are the reports of the last heartbeat interval on the
+        servers that this host polls.
+        """
         loads = []
         for name, server in self.state.table.servers.items():
             report = server.report
-            if report is NOTHING or now - report.at > HEARTBEAT_EVERY:
+            if (
+                report is NOTHING
+                or now - report.at > HEARTBEAT_INTERVAL_SECONDS
+            ):
                 continue
             if not self.peers.owns(name, now):
                 continue
@@ -139,18 +166,18 @@
         return loads
 
     def send_summary(self, now):
-        """Tell the other data centres what is spare here.
+        """Send the spare capacity of this data centre to the others.
 
-        The more hosts listen, the rarer the summaries: what this host
-        sends stays within a fixed number of bytes a second. Fresher news
-        rides on each answer to a forwarded request.
+        The interval grows with the number of receivers, so that this host
+        sends at most `SUMMARY_BYTES_PER_SECOND`. More recent loads are
+        included in each response to a forwarded request.
         """
         listeners = sum(
             1 for host in self.peers.entries if not self.peers.is_local(host)
         )
         millis, counter = self.state.timeline.clock.tick()
         self.sequence += 1
-        message = Summary(
+        message = DataCentreSummaryMessage(
             host=self.state.host,
             region=self.state.region,
             data_centre=self.state.data_centre,
@@ -164,91 +191,100 @@
             targets=target_loads(self.state.table, now),
         )
         size = len(ENCODER.encode(message))
-        paced = size * max(1, listeners) / SUMMARY_BYTES_PER_SECOND
-        every = max(SUMMARY_EVERY, paced)
-        self.summary_every = every
-        message = msgspec.structs.replace(message, every=every)
+        paced_interval = size * max(1, listeners) / SUMMARY_BYTES_PER_SECOND
+        interval = max(MIN_SUMMARY_INTERVAL_SECONDS, paced_interval)
+        self.summary_interval = interval
+        message = msgspec.structs.replace(message, every=interval)
         self.bus.publish(SUMMARY_TOPIC, message)
-        self.summary_due = now + every - HEARTBEAT_EVERY / 2
+        self.summary_due = now + interval - HEARTBEAT_INTERVAL_SECONDS / 2
 
     def local_gateways(self, now):
-        """Return where other data centres can forward requests to."""
+        """Return the addresses to which others can forward requests."""
         addresses = [
             entry.forward
             for host, entry in self.peers.entries.items()
-            if self.peers.is_local(host) and self.peers.usable(host, now)
+            if self.peers.is_local(host) and self.peers.is_usable(host, now)
         ]
         if not self.drain.leaving:
             addresses.append(self.forward_address)
         return sorted(addresses)
 
-    def hear(self, message):
-        """Take in a message of another host."""
+    def handle_message(self, message):
+        """Handle a heartbeat or a summary of another host."""
         now = self.state.clock.seconds()
-        self.state.timeline.clock.witness(message.millis, message.counter)
-        if not self.peers.hear(message, now):
+        self.state.timeline.clock.advance_past(message.millis, message.counter)
+        if not self.peers.apply_message(message, now):
             return
         if message.generation > self.state.keeper.generation:
-            self.newer(message.host, message.generation)
+            self.on_newer_generation(message.host, message.generation)
         else:
-            self.note_contact(message, now)
-        if isinstance(message, Summary):
+            self.record_platform_contact(message, now)
+        if isinstance(message, DataCentreSummaryMessage):
             if message.data_centre == self.state.data_centre:
                 return
-            self.state.centres.take(centre_summary(message, now))
+            self.state.centres.apply_summary(centre_summary(message, now))
         elif isinstance(message, Heartbeat):
-            self.take_heartbeat(message, now)
+            self.handle_heartbeat(message, now)
 
-    def note_contact(self, message, now):
-        """Note a neighbour's word that it has just read the platform.
+    def record_platform_contact(self, message, now):
+        """Record that a neighbour has just read the platform.
 
-        A message of a newer configuration proves nothing until that is
-        fetched, since it may withdraw a right.
+        It is not called for a message with a newer generation. Such a
+        message proves nothing until that configuration is fetched, since
+        it may withdraw a right.
         """
         if isinstance(message, Heartbeat) and message.contact:
-            self.state.trust.hear_neighbour(now)
+            self.state.trust.record_neighbour_contact(now)
 
-    def take_heartbeat(self, message, now):
-        """Take over the loads that a host of this data centre took."""
+    def handle_heartbeat(self, message, now):
+        """Apply the load reports that a host of this data centre sent."""
         for load in message.servers:
             name = self.state.table.names.get(load.server)
             if name is not None:
-                self.take_load(name, load_report(load, now))
+                self.apply_load_report(name, load_report(load, now))
         for name in message.departing:
             server = self.state.table.servers.get(name)
             if server is not None and not server.leaving:
-                self.note_leaving(name, message.host)
+                self.log_draining_server(name, message.host)
                 self.state.table.mark_leaving(name)
 
-    def take_load(self, name, report):
-        """Take over one load report."""
+    def apply_load_report(self, name, report):
+        """Apply one load report of a backend server."""
         server = self.state.table.servers.get(name)
         if server is None:
             return
-        before = server.leaving
-        self.state.table.take_report(name, report)
-        if server.leaving and not before:
-            self.note_leaving(name, self.state.host)
+        was_leaving = server.leaving
+        self.state.table.apply_report(name, report)
+        if server.leaving and not was_leaving:
+            self.log_draining_server(name, self.state.host)
 
-    def note_leaving(self, name, source):
-        """Put a server's leave on the time line."""
+    def log_draining_server(self, name, source):
+        """Log that a backend server is draining."""
         self.state.timeline.note(
             EventKind.SERVER_LEAVING, server=name, source=source
         )
 
     def poll_servers(self, now):
-        """Ask the servers that this host polls and has no news of."""
-        work = []
+        """Poll the servers of this host that lack a recent load report."""
+        polls_in_progress = []
         for name, server in list(self.state.table.servers.items()):
             report = server.report
-            fresh = report is not NOTHING and now - report.at < POLL_AFTER
-            if fresh or not self.peers.owns(name, now):
+            is_recent = (
+                report is not NOTHING
+                and now - report.at < MAX_REPORT_AGE_SECONDS
+            )
+            if is_recent or not self.peers.owns(name, now):
                 continue
-            work.append(defer.ensureDeferred(self.poll(name, server)))
-        return defer.DeferredList(work)
+            polls_in_progress.append(
+                defer.ensureDeferred(self.poll(name, server))
+            )
+        return defer.DeferredList(polls_in_progress)
 
     async def poll(self, name, server):
-        """Ask one server for its load."""
+        """Poll one server for its load.
+
+        A poll that fails is dropped; the next interval repeats it.
+        """
         self.polls += 1
         try:
             status, body = await fetch(
@@ -256,7 +292,7 @@
                 b"GET",
                 f"http://{server.entry.address}/load",
                 clock=self.state.clock,
-                timeout=POLL_TIMEOUT,
+                timeout=POLL_TIMEOUT_SECONDS,
             )
         except (NoAnswerError, ProtocolError):
             return
@@ -267,7 +303,7 @@
         except msgspec.DecodeError:
             return
         now = self.state.clock.seconds()
-        self.take_load(name, reported_load(load, now))
+        self.apply_load_report(name, reported_load(load, now))
 
 
 def target_loads(table, now):
@@ -280,12 +316,12 @@
             load=round(load, 2),
             wait=round(wait, 4),
         )
-        for target, (slots, load, wait) in table.summary(now).items()
+        for target, (slots, load, wait) in table.summarize(now).items()
     ]
 
 
 def centre_summary(message, now):
-    """Return the `CentreSummary` of a message that came at *now*."""
+    """Return the `CentreSummary` of a message received at *now*."""
     return CentreSummary(
         region=message.region,
         data_centre=message.data_centre,
--- a/src/hyssopspring/net/sinks.py
+++ b/src/hyssopspring/net/sinks.py
@@ -1,4 +1,4 @@
-"""Writing one answer over HTTP, whole or in parts."""
+"""Writing one HTTP response, at once or in parts."""
 
 from ..core.sentinels import NOTHING
 
@@ -6,16 +6,16 @@
 
 
 class AnswerSink:
-    """Write one answer.
+    """Write the response to one request.
 
     Args:
-        request: The request of `twisted.web` that is answered.
-        headers: Names and values that each answer carries.
+        request: The `twisted.web` request.
+        headers: Names and values of headers that each response has.
 
     Attributes:
         started: Whether the head was sent.
-        finished: Whether the answer has ended, or was cut.
-        bytes: Bytes of the body so far.
+        finished: Whether the response was completed or aborted.
+        bytes: Bytes of the body that were written so far.
     """
 
     def __init__(self, request, headers=()):
@@ -27,24 +27,24 @@
         self.bytes = 0
 
     @property
-    def gone(self):
-        """Whether the other side has closed the connection."""
+    def disconnected(self):
+        """Whether the client has closed the connection."""
         return self.request._disconnected
 
     def start(self, status, headers, length=NOTHING):
-        """Send the head of an answer.
+        """Send the head of the response.
 
         Args:
             status: HTTP status.
             headers: Names and values, as bytes.
-            length: Bytes of the whole body, if they are known.
+            length: Length of the whole body in bytes, or `NOTHING`.
         """
         self.started = True
-        if self.gone:
+        if self.disconnected:
             return
         self.request.setResponseCode(status)
         sent = (*self.headers, *headers)
-        # The web server's own values must not stand beside these.
+        # Replace the values that twisted.web has set for these headers.
         for name, _ in sent:
             self.request.responseHeaders.removeHeader(name)
         for name, value in sent:
@@ -57,47 +57,48 @@
     def write(self, data):
         """Send a part of the body."""
         self.bytes += len(data)
-        if not self.gone:
+        if not self.disconnected:
             self.request.write(data)
 
-    def pausing(self, producer):
-        """Let a slow reader pause *producer*.
+    def set_producer(self, producer):
+        """Pause *producer* while the client reads slowly.
 
-        Without it the answer to a reader that stopped reading would pile
-        up in memory until the host has none left.
+        Without backpressure, the response to a client that has stopped
+        reading would accumulate until the memory of the host is exhausted.
         """
-        self.release()
-        if not self.gone:
+        self.clear_producer()
+        if not self.disconnected:
             self.producer = producer
             self.request.registerProducer(producer, True)
 
-    def release(self):
-        """Let go of the producer."""
-        if self.producer is not NOTHING and not self.gone:
+    def clear_producer(self):
+        """Unregister the producer."""
+        if self.producer is not NOTHING and not self.disconnected:
             self.request.unregisterProducer()
         self.producer = NOTHING
 
     def finish(self):
-        """End a whole answer."""
-        self.release()
+        """End a complete response."""
+        self.clear_producer()
         self.finished = True
-        if not self.gone:
+        if not self.disconnected:
             self.request.finish()
 
-    def whole(self, status, headers, body):
-        """Send a whole answer."""
+    def send_whole(self, status, headers, body):
+        """Send a complete response."""
         self.start(status, headers, len(body))
         self.write(body)
         self.finish()
 
     def abort(self):
-        """Cut an answer that is not whole, so that it shows.
+        """Abort an incomplete response by closing the connection.
 
-        A proper end would pass a part off as the whole.
+        If it were ended properly, the client would take a part of the
+        response for the whole.
         """
-        self.release()
+        self.clear_producer()
         self.finished = True
-        if not self.gone:
+        if not self.disconnected:
             self.request.loseConnection()
 
 
--- a/src/hyssopspring/platform/headers.py
+++ b/src/hyssopspring/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers and servers, decoded and encoded."""
+"""Decode and encode the HTTP headers of callers and backend servers."""
 
 import re
 
@@ -15,8 +15,8 @@
 
 REQUEST_ID = b"x-request-attempt-id"
 DEADLINE = b"x-deadline-ms"
-PARTS = b"x-prompt-prefix"
-TOKENS = b"x-token-usage"
+PROMPT_PARTS = b"x-prompt-prefix"
+TOKEN_USAGE = b"x-token-usage"
 LENGTH_HINT = b"x-length-hint"
 EXPECTED_SERVER = b"x-expect-instance"
 URGENCY = b"x-request-urgency"
@@ -24,27 +24,27 @@
 COPY_FROM = b"kv-fetch"
 CALLER_KEY = b"x-api-key"
 WORKSPACE = b"x-tenant"
-STAMP = b"x-response-stamp"
+RESPONSE_STAMP = b"x-response-stamp"
 NOT_RUN = b"x-not-executed"
 RETRY_AFTER = b"retry-after"
 SERVER_LIMIT = b"server-limit"
 SERVER_LEAVING = b"server-leaving"
 MISDIRECTED = 421
-TURNED_AWAY = 503
+SERVICE_UNAVAILABLE = 503
 
-LONGEST_KEY = 200
-"""Bytes of the longest key of a caller."""
+MAX_KEY_BYTES = 200
+"""Maximum length of an API key of a caller."""
 
 DECIMAL = re.compile(rb"\d{1,9}(\.\d{1,9})?")
-"""A decimal number as servers write it."""
+"""Format of decimal numbers in response headers of backend servers."""
 
-MOST_LIMIT = 1e6
-"""Requests a second above which a limit is taken for nonsense."""
+MAX_RATE_LIMIT = 1e6
+"""Requests per second above which a rate limit is treated as invalid."""
 
-MOST_TOKENS = 10**9
-"""Tokens above which a statement of them is taken for nonsense."""
+MAX_TOKENS = 10**9
+"""Tokens above which a token usage header is treated as invalid."""
 
-OURS = (
+INTERNAL_HEADERS = (
     CALLER_KEY,
     WORKSPACE,
     EXPECTED_SERVER,
@@ -56,10 +56,11 @@
     b"kv-from",
     COPY_FROM,
 )
-"""Headers that are for the system, or that only it sets. A caller's own are
-dropped: a server would act on them, and must not learn keys."""
+"""Headers that are addressed to the gateway, or that only it may set. Those of
+a caller are dropped, because a backend server would act on them and must not
+receive API keys."""
 
-ONE_CONNECTION = (
+HOP_BY_HOP_HEADERS = (
     b"connection",
     b"content-length",
     b"expect",
@@ -70,41 +71,43 @@
     b"transfer-encoding",
     b"upgrade",
 )
+"""Headers that apply to one connection and are not forwarded."""
 
 
 def read_caller(headers):
     """Return the `RequestMetadata` of a caller's headers.
 
-    What cannot be read counts as absent: the server judges it.
+    A deadline or demand that cannot be parsed counts as absent: the
+    backend server decides about it.
     """
     return RequestMetadata(
         id=first_value(headers, REQUEST_ID),
         deadline=read_number(first_value(headers, DEADLINE), 0.001),
         demand=read_demand(headers),
         last_event=first_value(headers, LAST_EVENT),
-        key_digest=read_key(headers),
+        key_digest=read_key_digest(headers),
         tokens=read_tokens(headers),
     )
 
 
-def read_key(headers):
-    """Return the digest of the caller's key, or "" if there is not one.
+def read_key_digest(headers):
+    """Return the digest of the caller's API key, or "" without a valid one.
 
-    Of two keys it is open which one asks, so neither does.
+    Two keys do not identify the caller, so both are ignored.
     """
     keys = headers.getRawHeaders(CALLER_KEY, ())
-    if len(keys) != 1 or not 0 < len(keys[0]) <= LONGEST_KEY:
+    if len(keys) != 1 or not 0 < len(keys[0]) <= MAX_KEY_BYTES:
         return ""
     return credential_digest(keys[0])
 
 
 def read_tokens(headers):
-    """Return the tokens that a caller states, in and out together.
+    """Return the input and output tokens that a caller declares.
 
     Returns:
-        Their number, `NOTHING` if none are stated, or `INVALID`.
+        Their sum, `NOTHING` without the header, or `INVALID`.
     """
-    stated = headers.getRawHeaders(TOKENS, ())
+    stated = headers.getRawHeaders(TOKEN_USAGE, ())
     if not stated:
         return NOTHING
     numbers = [part.strip() for part in stated[0].split(b",")]
@@ -113,20 +116,25 @@
     if not all(number.isdigit() for number in numbers):
         return INVALID
     total = sum(map(int, numbers)) if max(map(len, numbers)) < 12 else 0
-    return total if 0 < total <= MOST_TOKENS else INVALID
+    return total if 0 < total <= MAX_TOKENS else INVALID
 
 
 def read_demand(headers):
-    """Return the `Demand` that a caller states."""
+    """Return the `Demand` that a caller declares.
+
+    Without a declared number of input tokens, those of the prompt parts
+    are added up. The output tokens are the lower of the maximum and the
+    length hint.
+    """
     parts = []
-    for item in first_value(headers, PARTS).split(b","):
+    for item in first_value(headers, PROMPT_PARTS).split(b","):
         name, _, tokens = item.strip().partition(b":")
         if name and tokens.isdigit():
             parts.append((name.decode("latin-1"), int(tokens)))
-    tokens_in, _, most_out = first_value(headers, TOKENS).partition(b",")
+    tokens_in, _, max_out = first_value(headers, TOKEN_USAGE).partition(b",")
     counted = sum(tokens for _, tokens in parts)
     hint = read_number(first_value(headers, LENGTH_HINT), 1.0)
-    out = read_number(most_out.strip(), 1.0)
+    out = read_number(max_out.strip(), 1.0)
     if hint is not NOTHING and (out is NOTHING or hint < out):
         out = hint
     given = read_number(tokens_in.strip(), 1.0)
@@ -138,7 +146,12 @@
 
 
 def read_number(text, unit):
-    """Return a number in the product's unit, or `NOTHING`."""
+    """Return a number converted to the gateway's unit, or `NOTHING`.
+
+    Args:
+        text: Text of the number.
+        unit: Factor that converts it.
+    """
     try:
         value = float(text)
     except ValueError:
@@ -156,19 +169,20 @@
     copy_from="",
     workspace="",
 ):
-    """Return the `Headers` that a server gets.
+    """Return the `Headers` of the request to a backend server.
 
     Args:
         headers: The caller's `Headers`.
-        time_left: Seconds that the caller will still wait, or `NOTHING`.
-        server_id: The server that is to run it, and no other.
-        urgency: Rank among waiting requests; 0 goes first.
-        last_event: Event after which a stream goes on, or b"".
+        time_left: Remaining seconds until the caller's deadline, or
+            `NOTHING`.
+        server_id: Identifier of the only server that may run it.
+        urgency: Rank among waiting requests, or `NOTHING`; 0 is first.
+        last_event: Event after which a stream is resumed, or b"".
         copy_from: Address of a server that has cached more of the prompt,
             or an empty string.
         workspace: Name of the caller's workspace, or an empty string.
     """
-    sent = passed_on(headers)
+    sent = forwarded_headers(headers)
     sent.setRawHeaders(EXPECTED_SERVER, [server_id.encode()])
     if urgency is not NOTHING:
         sent.setRawHeaders(URGENCY, [b"%d" % urgency])
@@ -184,11 +198,11 @@
     return sent
 
 
-def passed_on(headers):
-    """Return a copy without what concerns one connection or the system."""
+def forwarded_headers(headers):
+    """Return a copy without hop-by-hop and internal headers."""
     named = first_value(headers, b"connection").lower().split(b",")
     dropped = {name.strip() for name in named}
-    dropped.update(ONE_CONNECTION, OURS)
+    dropped.update(HOP_BY_HOP_HEADERS, INTERNAL_HEADERS)
     sent = Headers()
     for name, values in headers.getAllRawHeaders():
         if name.lower() not in dropped:
@@ -197,46 +211,46 @@
 
 
 def read_head(status, headers):
-    """Return the `ResponseHead` of a server's answer."""
+    """Return the `ResponseHead` of a response of a backend server."""
     echoed_id = first_value(headers, REQUEST_ID)
     return ResponseHead(
         not_run=bool(first_value(headers, NOT_RUN)),
         misdirected=status == MISDIRECTED,
         echoed_id=echoed_id or NOTHING,
-        signed=bool(first_value(headers, STAMP)),
+        signed=bool(first_value(headers, RESPONSE_STAMP)),
         retry_after=read_decimal(headers, RETRY_AFTER),
         limit=read_limit(headers),
         leaving=read_leaving(headers),
-        rejected=status == TURNED_AWAY,
+        rejected=status == SERVICE_UNAVAILABLE,
     )
 
 
 def read_leaving(headers):
-    """Return whether a server says that it leaves, or `INVALID`."""
-    said = headers.getRawHeaders(SERVER_LEAVING, ())
-    if not said:
+    """Return whether a server reports that it is draining, or `INVALID`."""
+    raw_values = headers.getRawHeaders(SERVER_LEAVING, ())
+    if not raw_values:
         return False
-    return True if [one.strip() for one in said] == [b"1"] else INVALID
+    return True if [one.strip() for one in raw_values] == [b"1"] else INVALID
 
 
 def read_limit(headers):
-    """Return the requests a second that a server says it takes.
+    """Return the rate limit that a server reports.
 
     Returns:
-        Their number, `NOTHING` if it names none, or `INVALID`.
+        Requests per second, `NOTHING` without the header, or `INVALID`.
     """
     limit = read_decimal(headers, SERVER_LIMIT)
-    if limit in (NOTHING, INVALID) or limit <= MOST_LIMIT:
+    if limit in (NOTHING, INVALID) or limit <= MAX_RATE_LIMIT:
         return limit
     return INVALID
 
 
 def read_decimal(headers, name):
-    """Return the decimal number of a header.
+    """Return the decimal number in a header.
 
     Returns:
-        The number, `NOTHING` if there is none, or `INVALID`. Of two it is
-        open which one holds.
+        The number, `NOTHING` without the header, or `INVALID`. A repeated
+        header is invalid, because it is ambiguous which value applies.
     """
     values = headers.getRawHeaders(name, ())
     if not values:
--- a/src/hyssopspring/stores/claimlogs.py
+++ b/src/hyssopspring/stores/claimlogs.py
@@ -1,4 +1,4 @@
-"""Claim logs in the key-value service, written in groups."""
+"""Claim logs in the key-value service, written with group commit."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,17 +6,17 @@
 from twisted.internet import defer, task
 
 from ..core.claims import (
-    RETENTION,
+    RETENTION_SECONDS,
     ClaimIndex,
-    Mark,
+    ClaimState,
     Segment,
     Verdict,
-    append,
+    append_records,
     decode_segment,
     encode_segment,
-    follow,
     is_full,
-    seal,
+    next_segment,
+    seal_segment,
 )
 from ..core.events import EventKind
 from ..core.exceptions import KeyValueError, ProtocolError, ensure
@@ -24,43 +24,52 @@
 from .keyvalues import Applied, NotApplied
 
 CLAIMS_PREFIX = "/hyssop/claims/"
-MOST_PENDING = 5000
-MOST_AT_ONCE = 200
-DOWN_PAUSE = 0.5
-CONFLICT_PAUSE = 0.01
-MARK_LIFE = 60.0
+MAX_PENDING_RECORDS = 5000
+"""Records that may wait for a write; further ones fail as unavailable."""
+
+MAX_GROUP_RECORDS = 200
+"""Maximum number of records in one write."""
+
+UNAVAILABLE_PAUSE_SECONDS = 0.5
+"""Pause before outcome records are retried after the service failed."""
+
+CONFLICT_PAUSE_SECONDS = 0.01
+"""Pause after another host won the race to write a shard."""
+
+OUTCOME_TIMEOUT_SECONDS = 60.0
+"""Time after which an unwritten outcome record is dropped."""
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRecord:
     """A record that waits to be written.
 
     Attributes:
         record: The `Record`.
-        give_up: Time on the clock after which it is not written.
-        done: Deferred of the `Verdict`.
+        deadline: Time on the clock after which it is not written.
+        done: Deferred that fires with the `Verdict`.
     """
 
     record: object
-    give_up: float
+    deadline: float
     done: object
 
 
 class ClaimLog:
     """One shard of the claim log.
 
-    All records that wait are written with one compare-and-swap, so the
-    writes a second do not grow with the requests a second. Any number of
-    hosts may write the same shard; a lost race costs a further read.
+    All waiting records are written with one compare-and-swap, so the
+    write rate does not grow with the request rate. Any number of hosts
+    may write the same shard; a lost race costs one additional read.
 
     Args:
         store: The key-value client.
         shard: Number of the shard.
         clock: The runtime's clock.
         wall: Callable that returns the wall clock in seconds.
-        pacer: `Pacer` of the shard's writes.
+        pacer: `TokenBucket` that limits the write rate of the shard.
         timeline: The `Timeline`.
-        health: `Health` of the service, over all logs of the host.
+        health: `Health` of the service, shared by all logs of the host.
         retention: Seconds for which records are kept.
     """
 
@@ -74,7 +83,7 @@
         pacer,
         timeline,
         health,
-        retention=RETENTION,
+        retention=RETENTION_SECONDS,
     ):
         self.store = store
         self.prefix = f"{CLAIMS_PREFIX}{shard}/"
@@ -85,127 +94,128 @@
         self.health = health
         self.retention = retention
         self.index = ClaimIndex()
-        self.open = Segment()
-        self.known = False
+        self.open_segment = Segment()
+        self.is_current = False
         self.pending = deque()
         self.running = False
         self.commits = 0
 
     @property
     def open_key(self):
-        """Key of the segment that takes new records."""
+        """Key of the segment that new records are appended to."""
         return f"{self.prefix}open"
 
     def closed_key(self, number):
         """Return the key of a closed segment."""
         return f"{self.prefix}closed/{number:08d}"
 
-    def submit(self, record, give_up):
-        """Write *record* with the next group.
+    def submit(self, record, deadline):
+        """Queue *record* for the next group write.
 
         Args:
             record: The `Record`.
-            give_up: Time on the clock after which it is not written.
+            deadline: Time on the clock after which it is not written.
 
         Returns:
-            Deferred of a `Verdict`. `Verdict.UNAVAILABLE` comes at once
-            while the service is known to be down.
+            Deferred of a `Verdict`. It fires immediately with
+            `Verdict.UNAVAILABLE` if too many records are pending, or if
+            the record is a claim and the service is known to be down.
         """
-        full = len(self.pending) >= MOST_PENDING
-        claim = record.mark is Mark.CLAIMED
+        full = len(self.pending) >= MAX_PENDING_RECORDS
+        claim = record.state is ClaimState.CLAIMED
         if full or (claim and self.health.down):
             return defer.succeed(Verdict.UNAVAILABLE)
-        waiting = Pending(record, give_up, defer.Deferred())
+        waiting = PendingRecord(record, deadline, defer.Deferred())
         self.pending.append(waiting)
         if not self.running:
             self.running = True
             work = defer.ensureDeferred(self.run())
-            work.addErrback(self.crashed)
+            work.addErrback(self.on_crash)
         return waiting.done
 
-    def crashed(self, reason):
-        """Answer all who wait when the work failed unexpectedly."""
+    def on_crash(self, reason):
+        """Fail all pending records after an unexpected error."""
         self.running = False
-        self.known = False
+        self.is_current = False
         while self.pending:
             self.pending.popleft().done.callback(Verdict.UNAVAILABLE)
         return reason
 
     async def run(self):
-        """Write groups until nothing waits."""
+        """Write groups until no record is pending."""
         while self.pending:
             try:
                 await self.refresh()
                 await self.commit()
             except (KeyValueError, ProtocolError) as error:
-                await self.pause_after(error)
-            self.drop_late()
+                await self.handle_failure(error)
+            self.drop_expired()
         self.running = False
 
     async def refresh(self):
-        """Read what others have written, unless all is known.
+        """Read the records of other hosts unless the index is current.
 
         Raises:
-            KeyValueError: The service did not answer, or answered from
-                the past.
+            KeyValueError: The service did not respond, or its response
+                is stale.
         """
-        if self.known:
+        if self.is_current:
             return
         entry = await self.store.get(self.open_key)
         if entry is NOTHING:
             if self.index.number >= 0:
-                raise KeyValueError("the claim log is from the past")
-            self.take_open(Segment(), 0)
+                raise KeyValueError("stale read: open segment is missing")
+            self.apply_open(Segment(), 0)
             return
         segment = decode_segment(entry.value)
         if entry.revision < self.index.revision:
-            raise KeyValueError("the claim log is from the past")
+            raise KeyValueError("stale read: open segment is outdated")
         if self.index.number < segment.first:
             self.index = ClaimIndex()
         await self.fold_closed(segment)
-        self.take_open(segment, entry.revision)
+        self.apply_open(segment, entry.revision)
 
     async def fold_closed(self, segment):
-        """Fold the closed segments between the index and *segment*."""
+        """Apply the closed segments between the index and *segment*."""
         start = max(self.index.number, segment.first)
         for number in range(start, segment.number):
             entry = await self.store.get(self.closed_key(number))
             if entry is NOTHING:
-                raise KeyValueError("the claim log is from the past")
-            self.index.fold_segment(decode_segment(entry.value))
+                raise KeyValueError("stale read: closed segment is missing")
+            self.index.apply_segment(decode_segment(entry.value))
 
-    def take_open(self, segment, revision):
-        """Take over the open segment as it is at *revision*."""
-        self.index.fold_segment(segment)
+    def apply_open(self, segment, revision):
+        """Apply the open segment as stored at *revision*."""
+        self.index.apply_segment(segment)
         self.index.revision = revision
-        self.open = segment
-        self.known = True
+        self.open_segment = segment
+        self.is_current = True
 
     async def commit(self):
-        """Write one group with one compare-and-swap."""
-        if is_full(self.open):
-            await self.roll()
+        """Write one group of records with one compare-and-swap."""
+        if is_full(self.open_segment):
+            await self.roll_segment()
             return
         group = self.choose_group()
         if not group:
             return
-        await self.wait_turn()
+        await self.wait_for_pacer()
         records = [waiting.record for waiting in group]
-        segment = append(self.open, records)
+        segment = append_records(self.open_segment, records)
         result = await self.write_open(segment)
         if result is NOTHING:
-            await task.deferLater(self.clock, CONFLICT_PAUSE)
+            await task.deferLater(self.clock, CONFLICT_PAUSE_SECONDS)
             return
         self.commits += 1
-        self.health.succeed()
-        self.take_open(segment, result.revision)
+        self.health.record_success()
+        self.apply_open(segment, result.revision)
         self.timeline.note(
             EventKind.CLAIM_COMMITTED, shard=self.prefix, records=len(records)
         )
-        self.answer_written(group)
+        self.resolve_written(group)
 
-    def answer_written(self, group):
-        """Answer those whose record has just been written."""
+    def resolve_written(self, group):
+        """Deliver the verdicts of records that have just been written."""
         wall = self.wall()
         for item in group:
             self.pending.remove(item)
@@ -214,10 +224,11 @@
             item.done.callback(verdict or Verdict.UNKNOWN)
 
     def choose_group(self):
-        """Answer what the index decides; return what must be written.
+        """Resolve records that the index contains; return those to write.
 
-        After a lost answer the index tells by the nonce whether the
-        write took effect, so nothing is granted twice or forgotten.
+        After a lost response the nonce in the index shows whether the
+        write was applied, so no claim is granted twice or lost. A group
+        has at most one record for each key digest.
         """
         wall = self.wall()
         group = []
@@ -225,47 +236,48 @@
         digests = set()
         for item in self.pending:
             record = item.record
-            if self.index.is_noted(record):
+            if self.index.is_redundant(record):
                 verdict = self.index.verdict(record.digest, record.nonce, wall)
                 item.done.callback(verdict or Verdict.UNKNOWN)
                 continue
             waiting.append(item)
             fresh = record.digest not in digests
-            if fresh and len(group) < MOST_AT_ONCE:
+            if fresh and len(group) < MAX_GROUP_RECORDS:
                 digests.add(record.digest)
                 group.append(item)
         self.pending = waiting
         return group
 
-    async def wait_turn(self):
+    async def wait_for_pacer(self):
         """Wait until the shard may be written again.
 
-        The budget keeps all shards together below the rate that the
-        service takes, also when all hosts come back after an outage. It
-        is the shard's own: with one for all shards of a host, those that
-        wait would overtake each other, and some never get their turn.
+        The budget keeps the write rate of all shards together below the
+        capacity of the service, even when all hosts resume after an
+        outage. Each shard has its own budget: if all shards of a host
+        shared one, waiting shards would overtake each other and some
+        would starve.
         """
-        while not self.pacer.take(self.clock.seconds()):
-            pause = self.pacer.wait(self.clock.seconds())
+        while not self.pacer.try_take(self.clock.seconds()):
+            pause = self.pacer.time_to_token(self.clock.seconds())
             await task.deferLater(self.clock, max(pause, 0.001))
 
     async def write_open(self, segment):
         """Replace the open segment.
 
         Returns:
-            `Applied`, or `NOTHING` if another host was first.
+            `Applied`, or `NOTHING` if another host has changed it first.
 
         Raises:
-            KeyValueError: Whether it took effect is not known.
+            KeyValueError: It is unknown whether the write was applied.
         """
-        self.known = False
+        self.is_current = False
         result = await self.store.swap(
             self.open_key, encode_segment(segment), self.index.revision
         )
         if isinstance(result, Applied):
             ensure(
                 result.revision > self.index.revision,
-                "the key-value service went back",
+                "revision of the key-value service has decreased",
             )
             return result
         if isinstance(result, NotApplied):
@@ -273,34 +285,37 @@
             return NOTHING
         raise KeyValueError(result.reason)
 
-    async def roll(self):
-        """Close the full segment and open the next.
+    async def roll_segment(self):
+        """Close the full segment and open the next one.
 
-        The closed copy is written first and never changes: whoever
-        writes it writes the same records, since a full segment takes no
-        more. Only the swap of the open segment decides.
+        The closed copy is written first and never changes: all hosts
+        write the same records to it, because nothing is appended to a
+        full segment. Only the compare-and-swap of the open segment
+        decides which host has closed it.
         """
         wall = self.wall()
-        full = seal(self.open, wall)
+        full = seal_segment(self.open_segment, wall)
         result = await self.store.swap(
             self.closed_key(full.number), encode_segment(full), 0
         )
         if not isinstance(result, Applied | NotApplied):
             raise KeyValueError(result.reason)
         self.index.sealed[full.number] = full.sealed_at
-        after = follow(self.open, self.index.sealed, wall, self.retention)
-        dropped = range(self.open.first, after.first)
+        after = next_segment(
+            self.open_segment, self.index.sealed, wall, self.retention
+        )
+        dropped = range(self.open_segment.first, after.first)
         result = await self.write_open(after)
         if result is NOTHING:
             return
-        self.take_open(after, result.revision)
+        self.apply_open(after, result.revision)
         await self.remove_closed(dropped, wall)
 
     async def remove_closed(self, numbers, wall):
-        """Remove segments that are older than the retention."""
+        """Remove closed segments that are older than the retention."""
         if not numbers:
             return
-        self.index.forget(wall - self.retention)
+        self.index.drop_expired(wall - self.retention)
         for number in numbers:
             key = self.closed_key(number)
             entry = await self.store.get(key)
@@ -308,32 +323,32 @@
                 await self.store.remove(key, entry.revision)
             self.index.sealed.pop(number, None)
 
-    async def pause_after(self, error):
-        """Refuse claims at once while the service does not answer.
+    async def handle_failure(self, error):
+        """Fail pending claims immediately after a failure of the service.
 
-        A claim that waited for the service to return would hold its
-        caller until the deadline; it is told when to come back instead.
-        Marks wait, as no caller waits for them.
+        A claim that waited for the service to recover would block its
+        caller until the deadline; the caller gets a retry time instead.
+        Records of outcomes stay pending, because no caller waits for them.
         """
-        self.known = False
-        if self.health.fail():
+        self.is_current = False
+        if self.health.record_failure():
             self.timeline.note(EventKind.CLAIM_UNAVAILABLE, why=error)
         kept = deque()
         for item in self.pending:
-            if item.record.mark is Mark.CLAIMED:
+            if item.record.state is ClaimState.CLAIMED:
                 item.done.callback(Verdict.UNAVAILABLE)
             else:
                 kept.append(item)
         self.pending = kept
         if kept:
-            await task.deferLater(self.clock, DOWN_PAUSE)
+            await task.deferLater(self.clock, UNAVAILABLE_PAUSE_SECONDS)
 
-    def drop_late(self):
-        """Answer those whose time is over."""
+    def drop_expired(self):
+        """Fail pending records whose deadline has passed."""
         now = self.clock.seconds()
         kept = deque()
         for item in self.pending:
-            if item.give_up <= now:
+            if item.deadline <= now:
                 item.done.callback(Verdict.UNAVAILABLE)
             else:
                 kept.append(item)
--- a/src/hyssopspring/stores/etcd.py
+++ b/src/hyssopspring/stores/etcd.py
@@ -1,4 +1,4 @@
-"""Key-value client for the JSON gateway of the etcd version 3 protocol."""
+"""Key-value client for the JSON gateway of the etcd v3 protocol."""
 
 from base64 import b64decode, b64encode
 
@@ -13,11 +13,15 @@
     Listing,
     NotApplied,
     WriteUnknown,
-    key_value,
+    register_client,
 )
 
-REQUEST_TIMEOUT = 1.0
-WATCH_RETRY = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
+"""Timeout of one request."""
+
+WATCH_RETRY_SECONDS = 1.0
+"""Pause before a watch stream is opened again."""
+
 FAILURES = (
     NoAnswerError,
     ProtocolError,
@@ -25,11 +29,12 @@
     TypeError,
     ValueError,
 )
+"""Errors of a request or of decoding its response."""
 
 
-@key_value("etcd")
+@register_client("etcd")
 class EtcdKeyValue:
-    """Talk to one key-value service.
+    """Client of one etcd service.
 
     Args:
         url: Base address, such as ``http://127.0.0.1:2379``.
@@ -48,28 +53,28 @@
         """Return the `Entry` of *key*, or `NOTHING` if there is none.
 
         Raises:
-            KeyValueError: The service did not answer.
+            KeyValueError: The service sent no valid response.
         """
-        answer = await self.read({"key": encode(key)})
-        found = answer.get("kvs", [])
+        response = await self.read({"key": encode(key)})
+        found = response.get("kvs", [])
         return decode_entry(found[0]) if found else NOTHING
 
     async def list(self, prefix):
-        """Return a `Listing` of what is below *prefix*.
+        """Return a `Listing` of all keys that start with *prefix*.
 
         Raises:
-            KeyValueError: The service did not answer.
+            KeyValueError: The service sent no valid response.
         """
-        answer = await self.read(
+        response = await self.read(
             {"key": encode(prefix), "range_end": encode(range_end(prefix))}
         )
         try:
-            return decode_listing(answer)
+            return decode_listing(response)
         except FAILURES as failure:
             raise KeyValueError(repr(failure)) from failure
 
     async def read(self, query):
-        """Send a range request and return the answer."""
+        """Send a range request and return the decoded response."""
         self.reads += 1
         try:
             return await self.call("/v3/kv/range", query)
@@ -77,27 +82,27 @@
             raise KeyValueError(repr(failure)) from failure
 
     async def swap(self, key, value, revision):
-        """Write *key* if its revision still is *revision*.
+        """Write *key* if its revision is still *revision*.
 
         Args:
             key: The key.
-            value: The new value, at most a megabyte.
+            value: The new value, at most one megabyte.
             revision: Revision that the key must have; 0 for a new key.
 
         Returns:
-            `Applied`, `NotApplied`, or `WriteUnknown` if the answer did
-            not come: the write may have taken effect all the same.
+            `Applied`, `NotApplied`, or `WriteUnknown` if no valid response
+            arrived: the write may have been applied nevertheless.
         """
         put = {"key": encode(key), "value": b64encode(value).decode()}
         return await self.transact(key, revision, {"request_put": put})
 
     async def remove(self, key, revision):
-        """Delete *key* if its revision still is *revision*."""
+        """Delete *key* if its revision is still *revision*."""
         operation = {"request_delete_range": {"key": encode(key)}}
         return await self.transact(key, revision, operation)
 
     async def transact(self, key, revision, operation):
-        """Carry out *operation* if *key* has *revision*."""
+        """Run *operation* in a transaction if *key* has *revision*."""
         self.writes += 1
         compare = {
             "key": encode(key),
@@ -111,54 +116,54 @@
             "failure": [{"request_range": {"key": encode(key)}}],
         }
         try:
-            answer = await self.call("/v3/kv/txn", body)
-            return decode_transaction(answer)
+            response = await self.call("/v3/kv/txn", body)
+            return decode_transaction(response)
         except FAILURES as failure:
             return WriteUnknown(repr(failure))
 
     async def call(self, path, body):
-        """Post *body* and return the decoded answer."""
-        status, answer = await fetch_json(
+        """Send *body* with POST and return the decoded response."""
+        status, response = await fetch_json(
             self.agent,
             b"POST",
             self.url + path,
             body,
             clock=self.clock,
-            timeout=REQUEST_TIMEOUT,
+            timeout=REQUEST_TIMEOUT_SECONDS,
         )
         if status != 200:
-            raise ProtocolError(f"status {status} from {path}")
-        return answer
+            raise ProtocolError(f"unexpected status {status} from {path}")
+        return response
 
-    def watch(self, prefix, changed):
-        """Call *changed* whenever a key below *prefix* may have changed.
+    def watch(self, prefix, on_change):
+        """Call *on_change* whenever a key under *prefix* may have changed.
 
         Args:
-            prefix: Start of the keys.
-            changed: Called without arguments, also after a reconnect,
-                since changes may have been missed.
+            prefix: Prefix of the keys.
+            on_change: Called without arguments, also after a reconnect
+                because changes may have been missed.
 
         Returns:
             A `Watch`; call its ``stop()`` to end it.
         """
-        watch = Watch(self, prefix, changed)
+        watch = Watch(self, prefix, on_change)
         watch.start()
         return watch
 
 
 class Watch:
-    """A waiting watch that reconnects until it is stopped."""
+    """A watch stream that reconnects until it is stopped."""
 
-    def __init__(self, client, prefix, changed):
+    def __init__(self, client, prefix, on_change):
         self.client = client
         self.prefix = prefix
-        self.changed = changed
+        self.on_change = on_change
         self.stopped = False
-        self.waiting = NOTHING
+        self.retry_timer = NOTHING
         self.transport = NOTHING
 
     def start(self):
-        """Open the stream."""
+        """Open the watch stream."""
         if self.stopped:
             return
         self.client.reads += 1
@@ -171,60 +176,62 @@
         opened = open_stream(
             self.client.agent, self.client.url + "/v3/watch", body
         )
-        opened.addCallbacks(self.opened, lambda _: self.again())
+        opened.addCallbacks(self.on_opened, lambda _: self.schedule_retry())
 
-    def opened(self, response):
-        """Read events from the open stream."""
-        self.changed()
+    def on_opened(self, response):
+        """Report a possible change and read events from the stream."""
+        self.on_change()
         reader = _WatchReader(self)
         response.deliverBody(reader)
         self.transport = reader.transport
         if self.stopped:
             self.stop()
 
-    def again(self):
-        """Open the stream anew after a pause."""
+    def schedule_retry(self):
+        """Open the stream again after a pause."""
         self.transport = NOTHING
         if not self.stopped:
-            self.waiting = self.client.clock.callLater(WATCH_RETRY, self.start)
+            self.retry_timer = self.client.clock.callLater(
+                WATCH_RETRY_SECONDS, self.start
+            )
 
     def stop(self):
         """End the watch."""
         self.stopped = True
-        if self.waiting is not NOTHING and self.waiting.active():
-            self.waiting.cancel()
+        if self.retry_timer is not NOTHING and self.retry_timer.active():
+            self.retry_timer.cancel()
         if self.transport is not NOTHING:
             self.transport.loseConnection()
 
 
 class _WatchReader(protocol.Protocol):
-    """Tell a `Watch` of each line that arrives."""
+    """Passes received watch events to a `Watch`."""
 
     def __init__(self, watch):
         self.watch = watch
 
     def dataReceived(self, data):
-        """Report a change; what changed is read afresh."""
+        """Report a change if events arrived; the keys are read again."""
         if b'"events"' in data and not self.watch.stopped:
-            self.watch.changed()
+            self.watch.on_change()
 
     def connectionLost(self, reason):
-        """Open the stream again."""
-        self.watch.again()
+        """Schedule a reconnect."""
+        self.watch.schedule_retry()
 
 
 def encode(text):
-    """Encode a key as the protocol's JSON form wants it."""
+    """Return a key in base64, as the JSON gateway expects it."""
     return b64encode(text.encode()).decode()
 
 
 def range_end(prefix):
-    """Return the first key after all that start with *prefix*."""
+    """Return the end of the key range that starts with *prefix*."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
 def decode_entry(found):
-    """Decode one ``KeyValue`` message."""
+    """Return the `Entry` of a ``KeyValue`` message."""
     return Entry(
         b64decode(found["key"]).decode(),
         b64decode(found.get("value", "")),
@@ -232,16 +239,16 @@
     )
 
 
-def decode_listing(answer):
-    """Decode the answer to a range request over a prefix."""
-    entries = tuple(decode_entry(found) for found in answer.get("kvs", []))
-    return Listing(entries, int(answer["header"]["revision"]))
+def decode_listing(response):
+    """Return the `Listing` of a response to a range request."""
+    entries = tuple(decode_entry(found) for found in response.get("kvs", []))
+    return Listing(entries, int(response["header"]["revision"]))
 
 
-def decode_transaction(answer):
-    """Decode the answer to a transaction."""
-    revision = int(answer["header"]["revision"])
-    if answer.get("succeeded", False):
+def decode_transaction(response):
+    """Return `Applied` or `NotApplied` for a response to a transaction."""
+    revision = int(response["header"]["revision"])
+    if response.get("succeeded", False):
         return Applied(revision)
-    found = answer["responses"][0]["response_range"].get("kvs", [])
+    found = response["responses"][0]["response_range"].get("kvs", [])
     return NotApplied(decode_entry(found[0]) if found else NOTHING)
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of operators' files under races, cuts and outages."""
+"""Acceptance of operators' files under races, partitions and outages."""
 
 import os
 import random
@@ -19,11 +19,11 @@
 from twisted.internet import task
 from twisted.internet.task import Clock
 
-from hyssopspring.config.acceptance import Judge, RawFile
-from hyssopspring.config.accepting import Acceptor
+from hyssopspring.config.reconciler import Reconciler
+from hyssopspring.config.validation import FolderValidator, RawFile
 from hyssopspring.core.accepted import (
     ACCEPTED_KEY,
-    FOLDER_PREFIX,
+    FILES_PREFIX,
     Accepted,
     GenerationKeeper,
     Verdict,
@@ -35,9 +35,9 @@
 from hyssopspring.core.membership import PeerEntry, PeerTable
 from hyssopspring.core.requests import Target, TargetKind
 from hyssopspring.core.sentinels import NOTHING
-from hyssopspring.core.trust import Level, Trust
-from hyssopspring.stores.following import ConfigFollower
+from hyssopspring.core.trust import Trust, TrustLevel
 from hyssopspring.stores.hosts import HostList, HostRow
+from hyssopspring.stores.sync import ConfigSync
 from hyssopspring_fakes.memory import MemoryKeyValue
 from hyssopspring_fakes.stores import Store
 
@@ -68,7 +68,7 @@
 
 @dataclass
 class GatewayState:
-    """What `ConfigFollower` needs of a host."""
+    """The parts of a host's state that `ConfigSync` uses."""
 
     clock: object
     timeline: object
@@ -78,14 +78,14 @@
 
 @dataclass
 class Host:
-    """A gateway's configuration side."""
+    """A gateway reduced to its configuration."""
 
     name: str
     region: str
     client: object
     state: object
     peers: object
-    follower: object
+    config_sync: object
     cut: bool = False
     cut_at: float = 0.0
     started: int = 0
@@ -94,7 +94,7 @@
 
 @dataclass
 class Fleet:
-    """Gateways, administrations and the platform on a test clock."""
+    """Gateways, admin servers and the platform on a test clock."""
 
     clock: object = field(default_factory=Clock)
     store: object = field(default_factory=Store)
@@ -110,25 +110,25 @@
                 self.start(f"{region}-{number}", region)
         for number in range(2):
             client = MemoryKeyValue(self.store, self.clock)
-            acceptor = Acceptor(
+            reconciler = Reconciler(
                 client,
                 self,
-                Pages(self, NOTHING),
+                FakeControlClient(self, NOTHING),
                 self.clock,
                 Timeline("admin", HybridClock(self.clock.seconds)),
                 random.Random(number),
             )
-            acceptor.start()
-            self.admins.append(acceptor)
+            reconciler.start()
+            self.admins.append(reconciler)
 
     def start(self, name, region):
-        """Start a gateway that remembers nothing."""
+        """Start a gateway without any state of an earlier run."""
         client = MemoryKeyValue(self.store, self.clock)
         known = self.hosts.get(name)
         boots = known.started + 1 if known else 0
         if known:
             client.cut = known.cut
-            known.follower.stop()
+            known.config_sync.stop()
         keeper = GenerationKeeper(
             lambda accepted: self.history.append(
                 (
@@ -145,8 +145,10 @@
             Trust(self.clock.seconds()),
         )
         peers = PeerTable(name, region)
-        follower = ConfigFollower(state, peers, client, Pages(self, name))
-        host = Host(name, region, client, state, peers, follower)
+        config_sync = ConfigSync(
+            state, peers, client, FakeControlClient(self, name)
+        )
+        host = Host(name, region, client, state, peers, config_sync)
         host.started = boots
         if known:
             host.cut, host.cut_at = known.cut, known.cut_at
@@ -164,7 +166,7 @@
         )
 
     async def read(self):
-        """Return the host list, which lags behind cuts."""
+        """Return the host list, which lags behind partitions."""
         now = self.clock.seconds()
         rows = [
             HostRow(
@@ -181,13 +183,13 @@
         return HostList((), tuple(rows))
 
     def reaches(self, one, other):
-        """Whether a message gets from one host to the other."""
+        """Return whether messages of *one* reach *other*."""
         if self.hosts[other].cut:
             return False
         return one is NOTHING or not self.hosts[one].cut
 
-    def set_cut(self, name, cut):
-        """Cut a gateway from everything, or heal it."""
+    def set_partitioned(self, name, cut):
+        """Partition a gateway from everything, or end its partition."""
         host = self.hosts[name]
         if cut and not host.cut:
             host.cut_at = self.clock.seconds()
@@ -195,7 +197,7 @@
         host.client.cut = cut
 
     def advance(self, seconds):
-        """Let time pass; hosts do their periodic work."""
+        """Advance the clock and run the periodic work of all hosts."""
         for _ in range(round(seconds / 0.05)):
             for _ in range(10):
                 self.clock.advance(0.005)
@@ -205,30 +207,30 @@
                     self.tick(host)
             if round(self.time / 0.05) % 40 == 0:
                 for admin in self.admins:
-                    admin.changed()
+                    admin.schedule()
             self.check_rights()
 
     def tick(self, host):
-        """Do one host's periodic work, heartbeats included."""
+        """Run the periodic work of one host, including heartbeats."""
         now = self.clock.seconds()
         trust = host.state.trust
-        trust.wake(now)
+        trust.record_wakeup(now)
         if not host.cut and not self.store.faults.down:
-            trust.hear_direct(now, now)
+            trust.record_platform_reply(now, now)
         for other in self.hosts.values():
             if other is host or not self.reaches(other.name, host.name):
                 continue
-            self.hear(host, other, now)
-        host.follower.tick()
-        trust.neighbours = lambda at: host.peers.neighbours_agree(
+            self.deliver_message(host, other, now)
+        host.config_sync.tick()
+        trust.neighbours = lambda at: host.peers.neighbours_up_to_date(
             at, host.state.keeper.generation
         )
 
-    def hear(self, host, other, now):
-        """Let *host* hear a message of *other*."""
+    def deliver_message(self, host, other, now):
+        """Deliver a message of *other* to *host*."""
         generation = other.state.keeper.generation
         host.sequence += 1
-        host.peers.hear(
+        host.peers.apply_message(
             SimpleNamespace(
                 host=other.name,
                 incarnation="i",
@@ -239,17 +241,17 @@
             now,
         )
         if generation > host.state.keeper.generation:
-            host.follower.newer(other.name, generation)
+            host.config_sync.on_newer_generation(other.name, generation)
             return
         contact = other.state.trust.in_contact(now)
         if contact and other.region == host.region:
-            host.state.trust.hear_neighbour(now)
+            host.state.trust.record_neighbour_contact(now)
 
     def check_rights(self):
-        """Assert that no gateway uses a right that is withdrawn.
+        """Assert that no gateway uses a withdrawn right.
 
-        A withdrawn right is one that the accepted configuration does
-        not give, once no proposal is pending.
+        A right is withdrawn if the accepted configuration does not grant
+        it and no proposal is pending.
         """
         known = self.store.current(ACCEPTED_KEY)
         if known is None:
@@ -269,7 +271,7 @@
 
     def put(self, name, text):
         """Write a file as an operator does."""
-        key = FOLDER_PREFIX + name
+        key = FILES_PREFIX + name
         known = self.store.current(key)
         data = None if text is None else text.encode()
         if known or data is not None:
@@ -277,10 +279,10 @@
             self.store.compare_and_swap(key, data, revision)
 
     def truth(self):
-        """Return what is accepted."""
+        """Return the accepted configuration in the store."""
         return decode_accepted(self.store.current(ACCEPTED_KEY)[0])
 
-    def heal(self):
+    def clear_faults(self):
         """End all faults."""
         faults = self.store.faults
         faults.down = False
@@ -289,8 +291,8 @@
             host.client.cut = host.cut = False
 
 
-class Pages:
-    """Signed pages, as read by one host."""
+class FakeControlClient:
+    """Control client of one host, which reads from the fleet directly."""
 
     def __init__(self, fleet, me):
         self.fleet = fleet
@@ -312,7 +314,7 @@
 
 
 class AcceptanceMachine(RuleBasedStateMachine):
-    """Draw edits and faults at random; check rights and history."""
+    """Applies random edits and faults; checks rights and history."""
 
     def __init__(self):
         super().__init__()
@@ -332,24 +334,24 @@
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 2.0, 4.0]))
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the clock."""
         self.fleet.advance(seconds)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def cut(self, name):
-        """Cut a gateway from everything."""
-        self.fleet.set_cut(name, True)
+        """Partition a gateway from everything."""
+        self.fleet.set_partitioned(name, True)
 
     @rule(region=st.sampled_from(REGIONS))
     def cut_data_centre(self, region):
-        """Cut both gateways of a data centre."""
+        """Partition both gateways of a data centre."""
         for number in range(2):
-            self.fleet.set_cut(f"{region}-{number}", True)
+            self.fleet.set_partitioned(f"{region}-{number}", True)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def mend(self, name):
-        """Heal a gateway's links."""
-        self.fleet.set_cut(name, False)
+        """End the partition of a gateway."""
+        self.fleet.set_partitioned(name, False)
 
     @rule(name=st.sampled_from([f"{r}-{n}" for r in REGIONS for n in (0, 1)]))
     def restart(self, name):
@@ -372,19 +374,19 @@
 
     @invariant()
     def generations_only_grow(self):
-        """No host goes back, and all agree on each generation."""
+        """Generations never decrease, and all hosts agree on each of them."""
         assert check_generations(self.fleet.history) == []
 
     def teardown(self):
-        """After all faults end, everything written is judged everywhere."""
-        self.fleet.heal()
+        """Assert that files are validated on all hosts after the faults."""
+        self.fleet.clear_faults()
         self.fleet.advance(25)
         truth = self.fleet.truth()
         assert truth.proposal is None
         for entry_key, (content, revision) in self.fleet.store.entries.items():
-            if not entry_key.startswith(FOLDER_PREFIX):
+            if not entry_key.startswith(FILES_PREFIX):
                 continue
-            state = truth.files[entry_key[len(FOLDER_PREFIX) :]]
+            state = truth.files[entry_key[len(FILES_PREFIX) :]]
             assert state.revision == revision
             if state.verdict is Verdict.ACCEPTED:
                 assert state.content == content.decode()
@@ -393,12 +395,12 @@
 
 
 def test_random_edits_and_faults_keep_rights_and_generations():
-    """Randomised runs keep withdrawn rights unused and all hosts agreed.
+    """Withdrawn rights stay unused and hosts agree under random faults.
 
-    A user would see data served in a region that a file had excluded:
-    operators edit at the same moment, hosts are cut off or replaced, the
-    platform answers late, from the past or not at all. The cause would
-    be a host that acts on a generation that others have left behind.
+    Guards against data being served in a region that a file has excluded,
+    because a host acts on an outdated generation. Operators edit files
+    concurrently, hosts are partitioned or replaced, and the responses of
+    the platform are late, stale or missing.
     """
     examples = int(os.environ.get("HYSSOP_SOAK_EXAMPLES", "25"))
     run_state_machine_as_test(
@@ -409,19 +411,19 @@
     )
 
 
-def judged(*files):
-    """Return what is accepted of files written one after the other."""
+def validate_in_order(*files):
+    """Return the `Accepted` after files are written one after the other."""
     accepted = Accepted()
     folder = {}
     for revision, (name, text) in enumerate(files, 1):
         folder[name] = RawFile(text, revision)
-        outcome = Judge(accepted).judge(folder, revision)
+        outcome = FolderValidator(accepted).validate(folder, revision)
         accepted = outcome.accepted
     return accepted
 
 
 def test_strictest_safety_field_wins_whatever_the_order():
-    """No file read alone can loosen what another one restricts."""
+    """The strictest value applies, independent of the order of the files."""
     strict = "workspaces: {w: {residency: [dar], attempts: 1}}"
     loose = "workspaces: {w: {residency: [dar, arusha], attempts: 3}}"
     for names in (("20-a.yaml", "30-b.yaml"), ("30-b.yaml", "20-a.yaml")):
@@ -430,15 +432,15 @@
             names[0]: RawFile(strict, 2),
             names[1]: RawFile(loose, 3),
         }
-        accepted = Judge(Accepted()).judge(folder, 3).accepted
+        accepted = FolderValidator(Accepted()).validate(folder, 3).accepted
         workspace = accepted.configuration.workspaces["w"]
         assert_that(workspace.residency, Equals(frozenset({"dar"})))
         assert_that(workspace.attempts, Equals(1))
 
 
 def test_refusal_keeps_the_last_accepted_content():
-    """A wrong revision is refused and changes nothing."""
-    accepted = judged(
+    """An invalid revision is refused and the accepted content stays."""
+    accepted = validate_in_order(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "workspaces: {w: {deadline_ms: 5000}}"),
         ("20-team.yaml", "workspaces:\n  w: {deadline_ms: soon}"),
@@ -452,57 +454,57 @@
 
 
 def test_removal_that_breaks_another_file_is_refused():
-    """A file that others need stays in force when it is removed."""
-    accepted = judged(
+    """The removal of a file that another file depends on is refused."""
+    accepted = validate_in_order(
         ("10-base.yaml", BASE),
         ("20-team.yaml", "models: {n: {fallback: [m]}}"),
     )
     folder = {"20-team.yaml": RawFile("models: {n: {fallback: [m]}}", 2)}
-    outcome = Judge(accepted).judge(folder, 3)
-    state = outcome.verdicts["10-base.yaml"]
+    outcome = FolderValidator(accepted).validate(folder, 3)
+    state = outcome.file_states["10-base.yaml"]
     assert_that(state.verdict, Equals(Verdict.REFUSED))
     assert_that(outcome.accepted.configuration.models, HasLength(2))
 
 
 def test_two_files_that_need_each_other_are_accepted_together():
-    """Files written at the same moment may refer to each other."""
+    """Files that are written concurrently may refer to each other."""
     folder = {
         "10-base.yaml": RawFile(BASE, 1),
         "20-a.yaml": RawFile("models: {a: {fallback: [b]}}", 2),
         "30-b.yaml": RawFile("models: {b: {}}", 3),
     }
-    accepted = Judge(Accepted()).judge(folder, 3).accepted
+    accepted = FolderValidator(Accepted()).validate(folder, 3).accepted
     verdicts = {state.verdict for state in accepted.files.values()}
     assert_that(verdicts, Equals({Verdict.ACCEPTED}))
 
 
 def test_older_reading_of_the_folder_is_not_proposed():
-    """A reading from the past does not bring old contents back.
+    """A stale read of the folder does not restore old contents.
 
-    An operator would see a withdrawn file in force again: one
-    administration reads the folder from a replica that lags, after
-    another has accepted the removal.
+    Guards against a removed file coming back into force: one admin server
+    reads the folder from a lagging replica after another one has accepted
+    the removal.
     """
-    accepted = judged(
+    accepted = validate_in_order(
         ("10-base.yaml", BASE), ("20-team.yaml", "models: {n: {}}")
     )
     old = {"10-base.yaml": RawFile(BASE, 1)}
-    outcome = Judge(accepted).judge(old, 1)
+    outcome = FolderValidator(accepted).validate(old, 1)
     assert_that(outcome.accepted, Equals(NOTHING))
 
 
 def test_restriction_is_refused_while_a_data_centre_is_cut_off():
-    """A region that cannot hear keeps its rights, visibly.
+    """A restriction is refused while a partitioned region cannot confirm.
 
-    A user of the cut region would be served by a right that operators
-    believe withdrawn: the host list has dropped the region, so nobody
-    there is asked. The cause would be to ask only who is listed.
+    Guards against the partitioned region using a right that is reported
+    as withdrawn: the host list has dropped the region, so a check of only
+    the listed hosts would not ask any host there.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
     for number in range(2):
-        fleet.set_cut(f"arusha-{number}", True)
+        fleet.set_partitioned(f"arusha-{number}", True)
     fleet.advance(5)
     fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
     fleet.advance(8)
@@ -512,7 +514,7 @@
 
 
 def test_change_is_in_force_everywhere_within_four_seconds():
-    """Both a plain change and a restriction are in force in time."""
+    """Both a plain change and a restriction are in force within 4 s."""
     for text in ("models: {n: {}}", "workspaces: {w: {residency: [dar]}}"):
         fleet = Fleet()
         fleet.put("10-base.yaml", BASE)
@@ -527,25 +529,27 @@
 
 
 class DeadWatch:
-    """A watch whose connection is open and passes nothing."""
+    """A watch with an open connection that delivers no events."""
 
     def stop(self):
-        """End it."""
+        """Do nothing."""
 
 
 def test_a_change_is_in_force_in_time_although_watches_are_dead():
-    """Guards against an old version for as long as a watch is silent.
+    """A change is in force in time although no watch delivers events.
 
-    The change is made right after the hosts have read the store.
+    Guards against hosts that use an old configuration for as long as a
+    watch is dead. The change is made right after the hosts have read the
+    store.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
     for host in fleet.hosts.values():
-        if host.follower.watch is not NOTHING:
-            host.follower.stop()
-            host.follower.watch = DeadWatch()
-        host.follower.read_due = 0.0
+        if host.config_sync.watch is not NOTHING:
+            host.config_sync.stop()
+            host.config_sync.watch = DeadWatch()
+        host.config_sync.next_read_at = 0.0
     fleet.advance(1.1)
     fleet.put("20-team.yaml", "models: {n: {}}")
     fleet.advance(3.95)
@@ -555,35 +559,35 @@
 
 
 def test_cut_off_host_is_fenced_before_a_restriction_is_in_force():
-    """A host that no list shows has given up the right by itself.
+    """An unlisted host stops using the right before it is withdrawn.
 
-    A user's data would be served in an excluded region: one host loses
+    Guards against data being served in an excluded region: one host loses
     all its links, the host list drops it, and the restriction comes into
-    force without it, while it goes on serving who still reaches it.
+    force without it while it still serves callers that can reach it.
     """
     cases = [(0.0, 0.5), (0.0, 1.5), (3.0, 2.5), (3.0, 3.5)]
     for lag, before in cases:
         fleet = Fleet(lag=lag)
         fleet.put("10-base.yaml", BASE)
         fleet.advance(5)
-        fleet.set_cut("arusha-1", True)
+        fleet.set_partitioned("arusha-1", True)
         fleet.advance(before)
         fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
         fleet.advance(10)
-        fleet.set_cut("arusha-1", False)
+        fleet.set_partitioned("arusha-1", False)
         fleet.advance(5)
         truth = fleet.truth()
         assert fleet.hosts["arusha-1"].state.keeper.accepted == truth
     assert truth.files["20-team.yaml"].verdict is Verdict.ACCEPTED
 
 
-def test_hosts_cut_off_together_do_not_vouch_for_each_other():
-    """Word of a host that is behind itself proves nothing.
+def test_partitioned_hosts_do_not_extend_each_others_trust():
+    """Messages of an outdated host do not prove contact with the platform.
 
-    A user's data would be served in an excluded region: two hosts of two
-    regions lose the platform and their neighbours but not each other,
-    the restriction comes into force without them, and each takes the
-    other's old word for contact. Found by a long randomised run.
+    Guards against data being served in an excluded region: two hosts of
+    two regions lose the platform and their neighbours but not each other,
+    the restriction comes into force without them, and each treats the
+    outdated messages of the other one as contact.
     """
     fleet = Fleet(lag=0.0)
     fleet.put("10-base.yaml", BASE)
@@ -591,7 +595,7 @@
     reaches = fleet.reaches
     together = {"dar-0", "mwanza-0"}
     for name in together:
-        fleet.set_cut(name, True)
+        fleet.set_partitioned(name, True)
     fleet.reaches = lambda one, other: (
         {one, other} <= together or reaches(one, other)
     )
@@ -601,24 +605,24 @@
 
 
 def test_host_list_alone_does_not_restore_rights():
-    """A host that is back from a cut asks for the configuration first.
+    """A host reads the configuration after a partition before using rights.
 
-    A user's data would be served in an excluded region: the host's links
-    heal, it reads the host list and takes that for contact, and its
-    configuration is still the one from before the cut.
+    Guards against data being served in an excluded region: the links of
+    the host recover, it reads the host list and treats that as contact,
+    and its configuration is still the one from before the partition.
     """
     fleet = Fleet(lag=0.0)
     fleet.put("10-base.yaml", BASE)
     fleet.advance(5)
-    fleet.set_cut("arusha-1", True)
+    fleet.set_partitioned("arusha-1", True)
     fleet.advance(4)
     fleet.put("20-team.yaml", "workspaces: {w: {residency: [dar]}}")
     fleet.advance(6)
     host = fleet.hosts["arusha-1"]
     now = fleet.clock.seconds()
-    host.state.trust.hear_direct(now, now)
+    host.state.trust.record_platform_reply(now, now)
     fleet.check_rights()
-    fleet.set_cut("arusha-1", False)
+    fleet.set_partitioned("arusha-1", False)
     fleet.store.faults.stale = 3
     fleet.advance(6)
     assert_that(host.state.keeper.generation, Equals(fleet.truth().generation))
@@ -633,12 +637,13 @@
 
 
 def test_outage_of_the_platform_leaves_all_rights_in_use():
-    """While all neighbours hear each other, an outage changes nothing.
+    """An outage of the platform has no effect while neighbours are in contact.
 
-    Users of a full region would be refused during an outage, though
-    other regions have room: hosts give up their rights as soon as the
-    platform is out of sight. A host that also misses a neighbour serves
-    what is at home, since that neighbour may know of a restriction.
+    Guards against requests of a full region being refused during an
+    outage although other regions have capacity, because hosts give up
+    their rights when they lose the platform. A host that also loses a
+    neighbour serves only the workspaces at home in its region, because
+    that neighbour may have received a restriction.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -646,25 +651,25 @@
     fleet.store.faults.down = True
     fleet.read = unreadable
     fleet.advance(30)
-    assert_that(set(levels(fleet).values()), Equals({Level.FULL}))
-    fleet.set_cut("arusha-1", True)
+    assert_that(set(levels(fleet).values()), Equals({TrustLevel.FULL}))
+    fleet.set_partitioned("arusha-1", True)
     fleet.advance(3)
     found = levels(fleet)
-    assert_that(found["arusha-0"], Equals(Level.HOME_ONLY))
-    assert_that(found["dar-0"], Equals(Level.FULL))
+    assert_that(found["arusha-0"], Equals(TrustLevel.HOME_ONLY))
+    assert_that(found["dar-0"], Equals(TrustLevel.FULL))
 
 
 async def unreadable():
-    """Stand for a host list that does not answer."""
+    """Fail like a host list that does not respond."""
     raise PlatformError("no answer")
 
 
-def test_new_host_does_not_believe_a_service_that_lags():
-    """A host that starts beside a lagging service takes the newest.
+def test_new_host_rejects_a_stale_configuration():
+    """A host that starts while the service lags gets the newest generation.
 
-    A user's data would be served in an excluded region: the host list
-    shows a new host, the key-value service gives it the configuration
-    from before the restriction, and its peers cannot be reached.
+    Guards against data being served in an excluded region: the host list
+    shows a new host, the key-value service returns the configuration from
+    before the restriction, and the peers of the host cannot be reached.
     """
     fleet = Fleet()
     fleet.put("10-base.yaml", BASE)
@@ -680,7 +685,7 @@
 
 
 def test_older_configuration_is_never_taken_back():
-    """A host ignores each generation that is not greater than its own."""
+    """A host ignores all generations that are not newer than its own."""
     keeper = GenerationKeeper()
     assert keeper.offer(Accepted(generation=3))
     assert not keeper.offer(Accepted(generation=2))
@@ -688,22 +693,22 @@
     assert_that(keeper.generation, Equals(3))
 
 
-def test_thawed_host_uses_home_rights_only_until_it_has_asked():
-    """A host that was frozen serves only what is at home with it.
+def test_resumed_host_uses_home_rights_only_until_it_is_verified():
+    """A suspended host serves only its home workspaces after it resumes.
 
-    A user's data would be served in an excluded region: the host was
-    frozen while the restriction came into force without it, wakes up,
-    and serves the first request before any message reaches it.
+    Guards against data being served in an excluded region: the host was
+    suspended while the restriction came into force without it, resumes,
+    and serves the first request before it receives any message.
     """
     trust = Trust(0.0)
     everywhere = frozenset(REGIONS)
-    trust.hear_direct(1.0, 1.0)
-    trust.wake(1.0)
+    trust.record_platform_reply(1.0, 1.0)
+    trust.record_wakeup(1.0)
     assert trust.permitted(everywhere, "dar", "arusha", 1.1) == everywhere
     assert trust.permitted(everywhere, "dar", "arusha", 9.0) is NOTHING
-    trust.hear_direct(9.1, 9.1, verified=True)
-    trust.verify(1.0)
+    trust.record_platform_reply(9.1, 9.1, verified=True)
+    trust.record_verification(1.0)
     assert trust.permitted(everywhere, "dar", "arusha", 9.2) is NOTHING
     assert trust.permitted(everywhere, "arusha", "arusha", 9.2) == {"arusha"}
-    trust.verify(9.1)
+    trust.record_verification(9.1)
     assert trust.permitted(everywhere, "dar", "arusha", 9.3) == everywhere
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -15,12 +15,12 @@
 from hyssopspring.entry.admission import Denied, Permissions, authorize
 from hyssopspring.entry.requests import RequestMetadata
 from hyssopspring.platform import headers
-from hyssopspring.platform.operator import conceal_keys, decode_configuration
+from hyssopspring.platform.operator import decode_configuration, hash_api_keys
 
 
 def decoded(document):
     """Return the `Configuration` of a document with keys in plain text."""
-    return decode_configuration(conceal_keys(msgspec.json.encode(document)))
+    return decode_configuration(hash_api_keys(msgspec.json.encode(document)))
 
 
 def permissions(configuration, route, key="", tokens=NOTHING):
@@ -147,7 +147,9 @@
 @pytest.mark.parametrize("keys", [[], [b""], [b"k", b"k"], [b"k" * 300]])
 def test_a_request_without_exactly_one_key_has_none(keys):
     """Of two keys neither is accepted, as either may be the wrong one."""
-    assert_that(headers.read_key(Headers({b"x-api-key": keys})), Equals(""))
+    assert_that(
+        headers.read_key_digest(Headers({b"x-api-key": keys})), Equals("")
+    )
 
 
 @pytest.mark.parametrize(
@@ -184,7 +186,7 @@
     """Datagrams between hosts contain no keys in plain text."""
     document = keyed_configuration()
     for value in (msgspec.json.encode(document), b'{"api_keys": ["desk-key"'):
-        assert_that(conceal_keys(value), Not(Contains(b"desk-key")))
+        assert_that(hash_api_keys(value), Not(Contains(b"desk-key")))
 
 
 @pytest_twisted.ensureDeferred
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,7 @@
-"""Separate processes on loopback, under kills, freezes and outages."""
+"""End-to-end tests with separate processes on the loopback interface.
+
+The processes are killed and suspended, and the platform becomes unavailable.
+"""
 
 import concurrent.futures
 import http.client
@@ -38,23 +41,23 @@
         },
     },
 }
-WITHIN = 15.0
+TIMEOUT_SECONDS = 15.0
 
 
 @pytest.fixture(scope="module")
 def processes(tmp_path_factory):
-    """Yield three regions of separate processes."""
-    made = Processes(TOPOLOGY, tmp_path_factory.mktemp("fleet"))
+    """Start the processes of three regions; stop them after the tests."""
+    started = Processes(TOPOLOGY, tmp_path_factory.mktemp("fleet"))
     try:
-        made.start()
-        wait_until(lambda: connected(made))
-        yield made
+        started.start()
+        wait_until(lambda: connected(started))
+        yield started
     finally:
-        made.stop()
+        started.stop()
 
 
 def connected(processes):
-    """Whether each gateway has heard of all data centres and servers."""
+    """Whether each gateway reports all data centres and backend servers."""
     _, answer = processes.operate("GET", "/v1/status")
     return len(answer["hosts"]) == 4 and all(
         len(host["centres"]) == 2 and len(host["servers"]) == 2
@@ -63,22 +66,22 @@
 
 
 def address(processes, name):
-    """Return the address of a process on the host list."""
+    """Return the address of a process from the host list."""
     return next(
         row["address"] for row in processes.rows if row["name"] == name
     )
 
 
 def wait_until(condition):
-    """Wait until *condition* holds."""
-    give_up = time.monotonic() + WITHIN
+    """Wait until *condition* returns true, at most `TIMEOUT_SECONDS`."""
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < give_up, "condition did not hold"
+        assert time.monotonic() < deadline, "condition was not met in time"
         time.sleep(0.05)
 
 
-def complete(processes, gateway, key="brokers-key", **headers):
-    """Send a completion; return status and answer."""
+def send_completion(processes, gateway, key="brokers-key", **headers):
+    """Send a completion request; return the status and the response."""
     return processes.fetch(
         "POST",
         f"http://{address(processes, gateway)}/v1/completions",
@@ -88,34 +91,38 @@
 
 
 def set_engine_fault(processes, region, **faults):
-    """Set fault switches of a region's engine."""
+    """Set the faults that the engine of a region injects."""
     import json
 
     url = f"http://{address(processes, f'{region}-engine-0')}/faults"
     processes.fetch("POST", url, json.dumps(faults).encode())
 
 
-def ran(processes, region):
-    """Return what a region's engine took."""
+def executed_requests(processes, region):
+    """Return the requests that a region's engine accepted to execute."""
     url = f"http://{address(processes, f'{region}-engine-0')}/ran"
     return processes.fetch("GET", url)[1]["ran"]
 
 
 def test_official_client_works_unchanged(processes):
-    """The common client library reads whole, streamed and wrong."""
+    """The OpenAI client library works without changes.
+
+    It decodes complete responses, streamed responses, the list of models
+    and error responses.
+    """
     client = openai.OpenAI(
         api_key="brokers-key",
         base_url=f"http://{address(processes, 'dar-gateway-0')}/v1",
         max_retries=0,
     )
-    asked = {
+    arguments = {
         "model": "quick-draft",
         "messages": [{"role": "user", "content": "two lorries"}],
         "max_tokens": 5,
     }
-    whole = client.chat.completions.create(**asked)
+    whole = client.chat.completions.create(**arguments)
     assert_that(whole.usage.completion_tokens, Equals(5))
-    parts = list(client.chat.completions.create(**asked, stream=True))
+    parts = list(client.chat.completions.create(**arguments, stream=True))
     assert_that(len(parts), Equals(5))
     assert_that(
         [model.id for model in client.models.list()], Equals(["quick-draft"])
@@ -126,42 +133,54 @@
 
 
 def test_request_is_forwarded_to_another_region(processes):
-    """A region that cannot serve sends what it may to another one."""
+    """A region that cannot serve forwards requests to another region.
+
+    Only workspaces whose residency permits it are forwarded; the others
+    receive a response that the request was not executed.
+    """
     set_engine_fault(processes, "dar", refuse=True)
-    before = len(ran(processes, "arusha")) + len(ran(processes, "mwanza"))
-    status, _ = complete(processes, "dar-gateway-0")
+    before = len(executed_requests(processes, "arusha")) + len(
+        executed_requests(processes, "mwanza")
+    )
+    status, _ = send_completion(processes, "dar-gateway-0")
     assert_that(status, Equals(200))
-    after = len(ran(processes, "arusha")) + len(ran(processes, "mwanza"))
+    after = len(executed_requests(processes, "arusha")) + len(
+        executed_requests(processes, "mwanza")
+    )
     assert_that(after, Equals(before + 1))
-    status, answer = complete(processes, "dar-gateway-1", key="reviews-key")
+    status, answer = send_completion(
+        processes, "dar-gateway-1", key="reviews-key"
+    )
     assert_that(status, Equals(503))
     assert_that(answer["error"]["type"], Equals("not_run"))
     set_engine_fault(processes, "dar", refuse=False)
 
 
 def test_command_line_accepts_refuses_and_explains(processes):
-    """Operators see acceptance, refusal and the reason of each field."""
-    good = processes.directory / "20-team.yaml"
-    good.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
-    shown = hyssopctl(processes, "config", "put", str(good))
-    assert_that(shown.returncode, Equals(0))
-    assert_that(shown.stdout, Contains("in force after"))
-    bad = processes.directory / "30-bad.yaml"
-    bad.write_text("workspaces:\n  brokers:\n    residency: [mars]\n")
-    shown = hyssopctl(processes, "config", "put", str(bad))
-    assert_that(shown.returncode, Equals(1))
-    assert_that(shown.stderr, Contains("30-bad.yaml:3:"))
-    shown = hyssopctl(processes, "config", "explain", "brokers")
-    assert_that(shown.stdout, Contains("20-team.yaml:1 says 20000"))
-    shown = hyssopctl(processes, "timeline")
-    assert_that(shown.stdout, Contains("config_refused"))
+    """The command line shows verdicts and the source of each field."""
+    accepted_file = processes.directory / "20-team.yaml"
+    accepted_file.write_text("workspaces: {brokers: {deadline_ms: 20000}}\n")
+    result = hyssopctl(processes, "config", "put", str(accepted_file))
+    assert_that(result.returncode, Equals(0))
+    assert_that(result.stdout, Contains("in force after"))
+    rejected_file = processes.directory / "30-bad.yaml"
+    rejected_file.write_text(
+        "workspaces:\n  brokers:\n    residency: [mars]\n"
+    )
+    result = hyssopctl(processes, "config", "put", str(rejected_file))
+    assert_that(result.returncode, Equals(1))
+    assert_that(result.stderr, Contains("30-bad.yaml:3:"))
+    result = hyssopctl(processes, "config", "explain", "brokers")
+    assert_that(result.stdout, Contains("20-team.yaml:1 says 20000"))
+    result = hyssopctl(processes, "timeline")
+    assert_that(result.stdout, Contains("config_refused"))
     for name in ("20-team.yaml", "30-bad.yaml"):
-        shown = hyssopctl(processes, "config", "rm", name)
-        assert_that(shown.returncode, Equals(0))
+        result = hyssopctl(processes, "config", "rm", name)
+        assert_that(result.returncode, Equals(0))
 
 
 def hyssopctl(processes, *arguments):
-    """Run the command line."""
+    """Run the command-line tool with *arguments*."""
     program = pathlib.Path(sys.executable).parent / "hyssopctl"
     settings = str(processes.directory / "hyssopctl.yaml")
     return subprocess.run(
@@ -174,7 +193,10 @@
 
 
 def test_wrong_settings_give_one_line_and_code_two(tmp_path):
-    """A wrong settings file names file, key and need."""
+    """An invalid settings file causes a one-line error and exit code 2.
+
+    The line names the file, the key and the expected value.
+    """
     path = tmp_path / "gateway.yaml"
     cases = [
         ("listen: 5", "$.listen"),
@@ -189,35 +211,36 @@
     program = pathlib.Path(sys.executable).parent / "hyssop-gateway"
     for line, key in cases:
         path.write_text(base + line + "\n")
-        shown = subprocess.run(
+        result = subprocess.run(
             [str(program), "--check", "--settings", str(path)],
             capture_output=True,
             text=True,
             timeout=30,
             check=False,
         )
-        assert_that(shown.returncode, Equals(2))
-        assert_that(shown.stderr.count("\n"), Equals(1))
-        assert_that(shown.stderr, Contains(str(path)))
-        assert_that(shown.stderr, Contains(key))
+        assert_that(result.returncode, Equals(2))
+        assert_that(result.stderr.count("\n"), Equals(1))
+        assert_that(result.stderr, Contains(str(path)))
+        assert_that(result.stderr, Contains(key))
 
 
 def test_kill_under_load_runs_nothing_twice(processes):
-    """Keyed single runs survive the kill of a gateway without a double.
+    """Killing a gateway under load runs no non-repeatable request twice.
 
-    A vendor would be paid twice: the portal's host dies after it sent an
-    approval on, the portal retries at another host with the same key,
-    and that host runs it again.
+    Guards against a duplicate payment: a gateway is killed after it sent
+    a request to the backend server, the caller retries with the same
+    idempotency key at another gateway, and that gateway runs the request
+    again.
     """
     hosts = ["dar-gateway-0", "dar-gateway-1"]
-    give_up = time.monotonic() + 3 * WITHIN
+    deadline = time.monotonic() + 3 * TIMEOUT_SECONDS
     service = address(processes, "dar-service-0")
     outcomes = {}
 
     def pay(number):
         key = f"kill-{number}"
         for host in itertools.cycle(hosts):
-            if time.monotonic() > give_up:
+            if time.monotonic() > deadline:
                 return
             try:
                 status, answer = processes.fetch(
@@ -257,11 +280,12 @@
 
 
 def test_frozen_gateway_wakes_up_without_old_rights(processes):
-    """A gateway that slept through a restriction does not serve by it.
+    """A resumed gateway does not use rights withdrawn while suspended.
 
-    A user's data would be served in an excluded region: the host of that
-    region is frozen, the host list drops it, the restriction is put in
-    force, and the host wakes up with the old configuration.
+    Guards against data being processed in an excluded region: the host of
+    that region is suspended and removed from the host list, the
+    restriction comes into force, and the host resumes with its old
+    configuration.
     """
     entry = f"http://{processes.platform}/hosts/mwanza-gateway-0"
     row = next(r for r in processes.rows if r["name"] == "mwanza-gateway-0")
@@ -277,18 +301,20 @@
         "PUT", "/v1/files/20-cut.yaml", text + "# again\n"
     )
     assert_that(status, Equals(200))
-    before = len(ran(processes, "mwanza"))
+    before = len(executed_requests(processes, "mwanza"))
     processes.signal("mwanza-gateway-0", signal.SIGCONT)
-    complete(processes, "mwanza-gateway-0")
-    served_abroad = len(ran(processes, "mwanza")) - before
-    assert_that(served_abroad, Equals(0))
-    processes.fetch("PUT", entry, str_json(row))
+    send_completion(processes, "mwanza-gateway-0")
+    served_remotely = len(executed_requests(processes, "mwanza")) - before
+    assert_that(served_remotely, Equals(0))
+    processes.fetch("PUT", entry, to_json_bytes(row))
     status, _ = processes.operate("DELETE", "/v1/files/20-cut.yaml")
     assert_that(status, Equals(200))
-    wait_until(lambda: complete(processes, "mwanza-gateway-0")[0] == 200)
+    wait_until(
+        lambda: send_completion(processes, "mwanza-gateway-0")[0] == 200
+    )
 
 
-def str_json(value):
+def to_json_bytes(value):
     """Return *value* as JSON bytes."""
     import json
 
@@ -296,15 +322,16 @@
 
 
 def test_platform_outage_stops_changes_and_nothing_else(processes):
-    """While the platform is frozen, callers are served as before.
+    """Callers are served as before while the platform is suspended.
 
-    A broker would wait for a platform that does not answer, though
-    everything that the request needs is known.
+    Guards against requests that wait for a platform that does not
+    respond, although the gateway has all the data that it needs to serve
+    them.
     """
     processes.signal("platform", signal.SIGSTOP)
     for gateway in ("dar-gateway-0", "arusha-gateway-0"):
         for _ in range(5):
-            status, _ = complete(processes, gateway)
+            status, _ = send_completion(processes, gateway)
             assert_that(status, Equals(200))
     status, answer = processes.operate("PUT", "/v1/files/40-x.yaml", "")
     assert_that(status, Equals(503))
@@ -315,13 +342,14 @@
 
 
 def test_planned_stop_of_a_process_exits_cleanly(processes):
-    """A gateway that is told to stop finishes and exits with code 0."""
+    """A gateway finishes its requests after SIGTERM and exits with 0."""
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         work = [
-            pool.submit(complete, processes, "dar-gateway-1") for _ in range(8)
+            pool.submit(send_completion, processes, "dar-gateway-1")
+            for _ in range(8)
         ]
         processes.signal("dar-gateway-1", signal.SIGTERM)
         statuses = {job.result()[0] for job in work}
     assert_that(statuses, Equals({200}))
-    code = processes.running["dar-gateway-1"].wait(WITHIN)
+    code = processes.running["dar-gateway-1"].wait(TIMEOUT_SECONDS)
     assert_that(code, Equals(0))
