--- a/src/hyssopspring/core/events.py
+++ b/src/hyssopspring/core/events.py
@@ -46,7 +46,7 @@
     PEER_GONE = (406, "another host is silent or is shutting down")
     SERVER_COLD = (407, "backend server is cold and gets few requests")
     EVACUATED = (408, "set of evacuated data centres changed")
-    SERVER_UNREADABLE = (410, "host list entry of a backend server is invalid")
+    SERVER_UNREADABLE = (410, "registry entry of a backend server is invalid")
     PEER_UNREAD = (409, "snapshot of the store from another host not readable")
     UNANSWERED = (411, "expired queries of other hosts discarded")
     SERVER_ENDED = (412, "backend server crashed while it ran a request")
