--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,20 +45,20 @@
     key_digest,
 )
 
-DAEMONS = 330
-CENTRES = 51
+GATEWAYS = 330
+DATA_CENTRES = 51
 SERVERS = 2300
 MODELS = 34
 WORKSPACES = 330
-CHANGES_A_DAY = 1300
-KEYED_A_SECOND = 120
-SECONDS_A_DAY = 86_400
+CHANGES_PER_DAY = 1300
+KEYED_REQUESTS_PER_SECOND = 120
+SECONDS_PER_DAY = 86_400
 RETENTION_HOURS = 3
-WINDOW = 5.0
+MEASURE_SECONDS = 5.0
 SIGNER = Signer("capacity")
 
 
-def timed(call, times):
+def time_call(call, times):
     """Return microseconds of processor time of one call."""
     began = time.process_time()
     for _ in range(times):
@@ -76,7 +76,7 @@
     return mean_y - rise / run * mean_x, rise / run
 
 
-def show(title, unit, points):
+def print_series(title, unit, points):
     """Print one measured series with its slope; return the line."""
     line = slope(points)
     shown = ", ".join(f"{x:g}: {y:.1f}" for x, y in points)
@@ -137,20 +137,23 @@
 
 def measure_heartbeats():
     """Measure bytes and processor time of heartbeats."""
-    sizes, sending, hearing = [], [], []
+    sizes, sending, receiving = [], [], []
     for servers in (1, 7, 45, 450):
         message = heartbeat(servers)
         data = ENCODER.encode(message)
         signature = SIGNER.sign(b"b:c", data)
         sizes.append((servers, len(data) + len(signature) + 10))
-        sending.append((servers, timed(lambda m=message: send(m), 300)))
-        hearing.append(
-            (servers, timed(lambda d=data, s=signature: hear(d, s), 300))
+        sending.append((servers, time_call(lambda m=message: send(m), 300)))
+        receiving.append(
+            (
+                servers,
+                time_call(lambda d=data, s=signature: receive(d, s), 300),
+            )
         )
     return (
-        show("heartbeat by loads in it", "bytes", sizes),
-        show("  send", "us", sending),
-        show("  hear", "us", hearing),
+        print_series("heartbeat by loads in it", "bytes", sizes),
+        print_series("  send", "us", sending),
+        print_series("  hear", "us", receiving),
     )
 
 
@@ -160,7 +163,7 @@
     return SIGNER.sign(b"b:c", data)
 
 
-def hear(data, signature):
+def receive(data, signature):
     """Check and decode a message as the bus does."""
     assert SIGNER.verify(signature, b"b:c", data)
     return decode_message(data)
@@ -168,7 +171,7 @@
 
 def measure_summaries():
     """Measure bytes and processor time of summaries."""
-    sizes, hearing = [], []
+    sizes, receiving = [], []
     for models in (4, 34, 340):
         table = ServerTable("c")
         table.replace(
@@ -199,20 +202,20 @@
         signature = SIGNER.sign(b"b:c", data)
         centres = CentreTable("other")
         sizes.append((models, len(data) + 26))
-        hearing.append(
+        receiving.append(
             (
                 models,
-                timed(
+                time_call(
                     lambda d=data, s=signature, c=centres: c.take(
-                        centre_summary(hear(d, s), 0.0)
+                        centre_summary(receive(d, s), 0.0)
                     ),
                     200,
                 ),
             )
         )
     return (
-        show("summary by models", "bytes", sizes),
-        show("  hear", "us", hearing),
+        print_series("summary by models", "bytes", sizes),
+        print_series("  hear", "us", receiving),
     )
 
 
@@ -230,7 +233,7 @@
         taking.append(
             (
                 servers,
-                timed(
+                time_call(
                     lambda t=table, n=names, c=counter: t.take_report(
                         n[0], report(next(c))
                     ),
@@ -239,8 +242,8 @@
             )
         )
     return (
-        show("server table by servers", "KB", memory),
-        show("  take one report", "us", taking),
+        print_series("server table by servers", "KB", memory),
+        print_series("  take one report", "us", taking),
     )
 
 
@@ -269,7 +272,7 @@
 
 def measure_configuration():
     """Measure the accepted value and the judging by files."""
-    sizes, judging, decoding, memory = [], [], [], []
+    sizes, validating, decoding, memory = [], [], [], []
     for count in (10, 100, 330, 1000):
         folder = make_files(count)
         accepted = Judge(Accepted()).judge(folder, count + 2).accepted
@@ -278,10 +281,10 @@
         changed = dict(folder)
         name = sorted(folder)[-1]
         changed[name] = RawFile(folder[name].content + "#", count + 9)
-        judging.append(
+        validating.append(
             (
                 count,
-                timed(
+                time_call(
                     lambda a=accepted, c=changed, n=count: Judge(a).judge(
                         c, n + 9
                     ),
@@ -291,7 +294,7 @@
             )
         )
         decoding.append(
-            (count, timed(lambda d=data: decode_accepted(d), 5) / 1000)
+            (count, time_call(lambda d=data: decode_accepted(d), 5) / 1000)
         )
         gc.collect()
         tracemalloc.start()
@@ -300,17 +303,17 @@
         tracemalloc.stop()
         del kept
     return (
-        show("accepted value by files", "KB", sizes),
-        show("  judge one change", "ms", judging),
-        show("  decode at a gateway", "ms", decoding),
-        show("  memory at a gateway", "KB", memory),
+        print_series("accepted value by files", "KB", sizes),
+        print_series("  judge one change", "ms", validating),
+        print_series("  decode at a gateway", "ms", decoding),
+        print_series("  memory at a gateway", "KB", memory),
     )
 
 
 def measure_claims():
     """Measure bytes, memory and folding of claims."""
     rng = random.Random(1)
-    memory, folding, sizes = [], [], []
+    memory, applying, sizes = [], [], []
     for count in (1_000, 10_000, 50_000):
         records = [
             Record(rng.randbytes(16), rng.randbytes(8), Mark.CLAIMED, 10**9)
@@ -330,14 +333,14 @@
         began = time.process_time()
         for record in records:
             fresh.fold(record)
-        folding.append((count, (time.process_time() - began) * 1000))
+        applying.append((count, (time.process_time() - began) * 1000))
         sizes.append(
             (count, len(encode_segment(Segment(records=records))) / 1024)
         )
     return (
-        show("claim index by keys", "KB beyond the records", memory),
-        show("  fold", "ms", folding),
-        show("  stored", "KB", sizes),
+        print_series("claim index by keys", "KB beyond the records", memory),
+        print_series("  fold", "ms", applying),
+        print_series("  stored", "KB", sizes),
     )
 
 
@@ -360,25 +363,25 @@
     await task.deferLater(reactor, 2.0)
     bus = [gateway.bus for gateway in fleet.gateways.values()]
     sent = sum(one.bytes_sent for one in bus)
-    heard = sum(one.bytes_received for one in bus)
+    received = sum(one.bytes_received for one in bus)
     polls = sum(g.membership.polls for g in fleet.gateways.values())
     reads = fleet.platform.store.reads
     used = time.process_time()
-    await task.deferLater(reactor, WINDOW)
+    await task.deferLater(reactor, MEASURE_SECONDS)
     figures = {
-        "cpu": (time.process_time() - used) / WINDOW / gateways * 100,
+        "cpu": (time.process_time() - used) / MEASURE_SECONDS / gateways * 100,
         "sent": (sum(one.bytes_sent for one in bus) - sent)
-        / WINDOW
+        / MEASURE_SECONDS
         / gateways,
-        "heard": (sum(one.bytes_received for one in bus) - heard)
-        / WINDOW
+        "heard": (sum(one.bytes_received for one in bus) - received)
+        / MEASURE_SECONDS
         / gateways,
         "polls": (
             sum(g.membership.polls for g in fleet.gateways.values()) - polls
         )
-        / WINDOW
+        / MEASURE_SECONDS
         / gateways,
-        "reads": (fleet.platform.store.reads - reads) / WINDOW,
+        "reads": (fleet.platform.store.reads - reads) / MEASURE_SECONDS,
     }
     await fleet.stop()
     return figures
@@ -406,59 +409,61 @@
     configuration = measure_configuration()
     claims = measure_claims()
     await measure_fleets()
-    print_plan(beat, summary, table, configuration, claims)
+    print_estimate(beat, summary, table, configuration, claims)
 
 
-def at(line, size):
+def value_at(line, size):
     """Return what a line gives at *size*."""
     return line[0] + line[1] * size
 
 
-def print_plan(beat, summary, table, configuration, claims):
+def print_estimate(beat, summary, table, configuration, claims):
     """Print what each mechanism costs at the plan's size."""
-    hosts = DAEMONS / CENTRES
-    servers = SERVERS / CENTRES
+    hosts = GATEWAYS / DATA_CENTRES
+    servers = SERVERS / DATA_CENTRES
     own = servers / hosts
     peers = hosts - 1
-    size, send_us, hear_us = (at(line, own) for line in beat)
-    print(f"--- at {DAEMONS} daemons, {CENTRES} data centres, {SERVERS}")
+    size, send_us, receive_us = (value_at(line, own) for line in beat)
+    print(f"--- at {GATEWAYS} daemons, {DATA_CENTRES} data centres, {SERVERS}")
     print(
         f"heartbeats: {size * peers:.0f} bytes/s out and as many in, "
-        f"{(send_us + peers * hear_us) / 1e4:.4f}% of a core a daemon"
+        f"{(send_us + peers * receive_us) / 1e4:.4f}% of a core a daemon"
     )
-    reports = servers * at(table[1], servers)
+    reports = servers * value_at(table[1], servers)
     print(f"load reports taken: {reports / 1e4:.4f}% of a core a daemon")
     print(f"load polls: {own / 2:.1f} a second a daemon if all are idle")
-    size = at(summary[0], MODELS)
-    listeners = DAEMONS - hosts
+    size = value_at(summary[0], MODELS)
+    listeners = GATEWAYS - hosts
     every = max(1.0, size * listeners / 1000)
     print(
         f"summaries: {size:.0f} bytes to {listeners:.0f} listeners, one "
         f"every {every:.0f} s at the pace of 1,000 bytes/s; "
-        f"{CENTRES * at(summary[1], MODELS) / every / 1e4:.4f}% of a core "
-        "to hear all"
+        f"{DATA_CENTRES * value_at(summary[1], MODELS) / every / 1e4:.4f}% "
+        "of a core to hear all"
     )
-    value = at(configuration[0], WORKSPACES)
-    changes = CHANGES_A_DAY / SECONDS_A_DAY
+    value = value_at(configuration[0], WORKSPACES)
+    changes = CHANGES_PER_DAY / SECONDS_PER_DAY
     print(
         f"configuration: value of {value:.0f} KB, "
         f"{value * 1024 * changes:.0f} bytes/s in on average, "
-        f"{at(configuration[2], WORKSPACES) * changes / 10:.4f}% of a core, "
-        f"{at(configuration[3], WORKSPACES):.0f} KB of memory a daemon; "
-        f"judging {at(configuration[1], WORKSPACES):.0f} ms a change"
+        f"{value_at(configuration[2], WORKSPACES) * changes / 10:.4f}% "
+        "of a core, "
+        f"{value_at(configuration[3], WORKSPACES):.0f} KB of memory a "
+        "daemon; "
+        f"judging {value_at(configuration[1], WORKSPACES):.0f} ms a change"
     )
-    keys = KEYED_A_SECOND * RETENTION_HOURS * 3600
+    keys = KEYED_REQUESTS_PER_SECOND * RETENTION_HOURS * 3600
     owned = keys / SHARDS
     print(
-        f"claims at {KEYED_A_SECOND} keyed a second, kept for "
+        f"claims at {KEYED_REQUESTS_PER_SECOND} keyed a second, kept for "
         f"{RETENTION_HOURS} h: {keys:,} keys, "
         f"{owned * (claims[0][1] + 0.11) / 1024:.1f} MB at each owner of "
         f"one of {SHARDS} shards, "
         f"{keys * claims[2][1] / 1024:.0f} MB stored"
     )
     print(
-        f"watches: {2 * CENTRES}, host list reads {2 * CENTRES}/s + "
-        f"{(DAEMONS - 2 * CENTRES) / 10:.0f}/s"
+        f"watches: {2 * DATA_CENTRES}, host list reads {2 * DATA_CENTRES}/s + "
+        f"{(GATEWAYS - 2 * DATA_CENTRES) / 10:.0f}/s"
     )
 
 
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -19,8 +19,8 @@
 
 from processes import Processes  # noqa: E402
 
-IDLE = 5.0
-KEYED = (100, 400)
+IDLE_SECONDS = 5.0
+KEYED_RATES = (100, 400)
 KEYED_SECONDS = 4.0
 
 
@@ -37,7 +37,7 @@
             time.sleep(3)
             report_changes(processes, count)
             report_idle(processes)
-            for number in KEYED:
+            for number in KEYED_RATES:
                 report_keyed(processes, number)
         finally:
             processes.stop()
@@ -48,49 +48,49 @@
     plain = []
     for number in range(count):
         text = f"workspaces: {{brokers: {{deadline_ms: {20000 + number}}}}}\n"
-        plain.append(put(processes, text))
-    show(f"{count} plain changes", plain)
+        plain.append(put_file(processes, text))
+    print_times(f"{count} plain changes", plain)
     strict = []
     for number in range(5):
         limit = 100 - number
         text = (
             f"workspaces: {{brokers: {{limits: {{concurrent: {limit}}}}}}}\n"
         )
-        strict.append(put(processes, text))
-    show("5 restrictions", strict)
-    _, answer = processes.operate("GET", "/v1/status")
-    stalls = [host["stall_ms"] for host in answer["hosts"]]
+        strict.append(put_file(processes, text))
+    print_times("5 restrictions", strict)
+    _, response = processes.call_admin("GET", "/v1/status")
+    stalls = [host["stall_ms"] for host in response["hosts"]]
     print(f"longest loop stall of a gateway: {max(stalls)} ms")
 
 
-def put(processes, text):
+def put_file(processes, text):
     """Write a file; return the seconds until it is in force everywhere."""
-    status, report = processes.operate("PUT", "/v1/files/20-x.yaml", text)
+    status, report = processes.call_admin("PUT", "/v1/files/20-x.yaml", text)
     if status != 200 or report["not_in_force"]:
         raise SystemExit(f"not in force: {report}")
     return report["seconds"]
 
 
-def show(title, times):
+def print_times(title, times):
     """Print median and maximum."""
     median = statistics.median(times)
     print(f"{title}: median {median:.3f} s, max {max(times):.3f} s")
 
 
-def counts(processes):
+def store_call_counts(processes):
     """Return reads and writes so far."""
-    _, answer = processes.fetch("GET", f"http://{processes.platform}/counts")
-    return answer["reads"], answer["writes"]
+    _, response = processes.fetch("GET", f"http://{processes.platform}/counts")
+    return response["reads"], response["writes"]
 
 
 def report_idle(processes):
     """Print the calls a second while nothing happens."""
-    reads, writes = counts(processes)
-    time.sleep(IDLE)
-    more_reads, more_writes = counts(processes)
+    reads, writes = store_call_counts(processes)
+    time.sleep(IDLE_SECONDS)
+    more_reads, more_writes = store_call_counts(processes)
     print(
-        f"idle: {(more_reads - reads) / IDLE:.1f} reads/s, "
-        f"{(more_writes - writes) / IDLE:.1f} writes/s"
+        f"idle: {(more_reads - reads) / IDLE_SECONDS:.1f} reads/s, "
+        f"{(more_writes - writes) / IDLE_SECONDS:.1f} writes/s"
     )
 
 
@@ -99,8 +99,8 @@
     addresses = [row["address"] for row in processes.gateways()]
     times = []
 
-    def pay(index):
-        began = time.perf_counter()
+    def send_keyed_request(index):
+        started_at = time.perf_counter()
         status, _ = processes.fetch(
             "POST",
             f"http://{addresses[index % len(addresses)]}/services/rating/pay",
@@ -110,25 +110,25 @@
                 "Idempotency-Key": f"{number}-{index}",
             },
         )
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
         return status
 
-    reads, writes = counts(processes)
-    began = time.monotonic()
+    reads, writes = store_call_counts(processes)
+    started_at = time.monotonic()
     with concurrent.futures.ThreadPoolExecutor(32) as pool:
         work = []
         for index in range(int(number * KEYED_SECONDS)):
-            due = began + index / number
+            due = started_at + index / number
             time.sleep(max(0.0, due - time.monotonic()))
-            work.append(pool.submit(pay, index))
+            work.append(pool.submit(send_keyed_request, index))
         statuses = [job.result() for job in work]
-    spent = time.monotonic() - began
-    more_reads, more_writes = counts(processes)
+    elapsed = time.monotonic() - started_at
+    more_reads, more_writes = store_call_counts(processes)
     done = statuses.count(200)
     print(
         f"{number} keyed runs a second: {done} of {len(statuses)} answered, "
-        f"{(more_reads - reads) / spent:.0f} reads/s, "
-        f"{(more_writes - writes) / spent:.0f} writes/s, "
+        f"{(more_reads - reads) / elapsed:.0f} reads/s, "
+        f"{(more_writes - writes) / elapsed:.0f} writes/s, "
         f"median {statistics.median(times) * 1000:.0f} ms, "
         f"max {max(times) * 1000:.0f} ms"
     )
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -1,6 +1,6 @@
 """Measure what it costs to remember requests under which servers end."""
 
-from entry_slopes import best
+from entry_slopes import min_micros
 from twisted.web.http_headers import Headers
 
 from hyssopspring.entry.crashsharing import row_of
@@ -10,33 +10,33 @@
 
 HOST = "front-dar-kariakoo-1"
 CALLER = "100.64.0.7"
-NEAR_ONE_SERVER = 60
+REQUESTS_PER_CRASH = 60
 """Requests that were about to begin on a server that ended."""
 
-LOOKS = 20
+SWEEP_ROUNDS = 20
 
 
-def server(number):
+def instance_id(number):
     """Return the name of a start of a server."""
     return f"i-{number:010d}/1786947754617"
 
 
-def filled(count):
+def make_crashes(count):
     """Return a host's knowledge of *count* requests, one in 20 blocked."""
     crashes = Crashes()
     for number in range(count):
-        first = number // NEAR_ONE_SERVER * 3
+        first = number // REQUESTS_PER_CRASH * 3
         for one in range(1 if number % 20 else 3):
-            end = End(server(first + one), 0.0, HOST, CALLER)
+            end = End(instance_id(first + one), 0.0, HOST, CALLER)
             crashes.note_end(f"{number:032}", end, 0.0)
     return crashes
 
 
-def message(ends):
+def message_size(ends):
     """Return the bytes of the message on a request with *ends* ends."""
     suspect = Suspect("f" * 32)
     for number in range(ends):
-        end = End(server(number), 0.0, HOST, CALLER)
+        end = End(instance_id(number), 0.0, HOST, CALLER)
         suspect.ends[end.server] = end
     return len(encode_message(Suspects(HOST, [row_of(suspect, 9.0)])))
 
@@ -46,21 +46,26 @@
     headers = Headers({b"host": [b"a.example"]})
     for size in (0, 2_000, 20_000, 200_000):
         body = b"x" * size
-        micros = best(
+        micros = min_micros(
             lambda one=body: fingerprint_of(b"POST", headers, b"/a", one), 200
         )
         print(f"fingerprint of a body of {size} bytes: {micros:.1f} us")
     for count in (10, 100, 1_000, 2_000):
-        crashes = filled(count)
+        crashes = make_crashes(count)
         last = f"{count - 1:032}"
-        verdict = best(lambda c=crashes, f=last: c.verdict(f, CALLER, 9.0))
-        judge = best(lambda c=crashes: c.judge(0.1), LOOKS)
-        expire = best(lambda c=crashes: c.expire(1.0), LOOKS)
+        verdict = min_micros(
+            lambda c=crashes, f=last: c.verdict(f, CALLER, 9.0)
+        )
+        judge = min_micros(lambda c=crashes: c.judge(0.1), SWEEP_ROUNDS)
+        expire = min_micros(lambda c=crashes: c.expire(1.0), SWEEP_ROUNDS)
         print(
             f"{count} requests known: verdict {verdict:.1f} us, "
             f"judge {judge:.0f} us, expire {expire:.0f} us"
         )
-    print(f"message: {message(1)} bytes with one end, {message(3)} with 3")
+    print(
+        f"message: {message_size(1)} bytes with one end, "
+        f"{message_size(3)} with 3"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -26,22 +26,22 @@
 )
 
 
-def best(work, rounds=ROUNDS):
+def min_micros(work, rounds=ROUNDS):
     """Return the least microseconds of one call over several repeats."""
-    least = float("inf")
+    fastest = float("inf")
     for _ in range(REPEATS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(rounds):
             work()
-        least = min(least, time.process_time() - began)
-    return least / rounds * 1e6
+        fastest = min(fastest, time.process_time() - started_at)
+    return fastest / rounds * 1e6
 
 
-def heartbeat(tickets):
-    """Return a heartbeat that names *tickets* requests."""
+def heartbeat(placements):
+    """Return a heartbeat that names *placements* requests."""
     rows = [
         OpenTicket(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
-        for n in range(tickets)
+        for n in range(placements)
     ]
     return Heartbeat(
         "front-dar-kariakoo-1",
@@ -64,23 +64,25 @@
 
 def show_messages():
     """Print size and time of the messages."""
-    for tickets in (0, 10, 50, 200):
-        message = heartbeat(tickets)
+    for placements in (0, 10, 50, 200):
+        message = heartbeat(placements)
         data = encode_message(message)
-        spent = best(lambda data=data: decode_message(data), 500)
-        print(f"heartbeat, {tickets} requests: {len(data)} B, {spent:.1f} us")
+        micros = min_micros(lambda data=data: decode_message(data), 500)
+        print(
+            f"heartbeat, {placements} requests: {len(data)} B, {micros:.1f} us"
+        )
     for services in (2, 10, 34):
         loads = {
             f"s{n}": ServiceLoad(48, [ToldRoom([100, 150, 200], 50, 9000)] * 4)
             for n in range(services)
         }
         data = encode_message(Summary("dar", loads))
-        spent = best(lambda data=data: decode_message(data), 500)
-        print(f"summary, {services} services: {len(data)} B, {spent:.1f} us")
+        micros = min_micros(lambda data=data: decode_message(data), 500)
+        print(f"summary, {services} services: {len(data)} B, {micros:.1f} us")
 
 
-def make_placer(servers, tickets):
-    """Return a placer that knows *tickets* requests on each server."""
+def make_placer(servers, placements):
+    """Return a placer that knows *placements* requests on each server."""
     registry = Registry({"a": "north"})
     for n in range(servers):
         registry.put(
@@ -100,7 +102,7 @@
         random.Random(1),
         lambda now: {"north"},
     )
-    for n in range(servers * tickets):
+    for n in range(servers * placements):
         placer.place(make_ask(n), 0.0)
     for key in list(placer.tickets):
         placer.note_start(*key, 0.1, 0.1)
@@ -125,15 +127,15 @@
 def show_placing():
     """Print the time to place one request."""
     for servers in (5, 35, 70, 135):
-        for tickets in (0, 16):
-            placer = make_placer(servers, tickets)
+        for placements in (0, 16):
+            placer = make_placer(servers, placements)
             ask = make_ask(1_000_000)
 
             def work(placer=placer, ask=ask):
                 placer.place(ask, 1.0)
 
-            spent = best(work, 200)
-            print(f"place, {servers} servers of {tickets}: {spent:.0f} us")
+            micros = min_micros(work, 200)
+            print(f"place, {servers} servers of {placements}: {micros:.0f} us")
 
 
 def show_members():
@@ -144,8 +146,8 @@
             members.learn(make_member(n))
         for member in members.others.values():
             member.heard_at = 1.0
-        spent = best(lambda members=members: members.placers(1.1), 200)
-        print(f"rank {hosts} hosts: {spent:.0f} us")
+        micros = min_micros(lambda members=members: members.placers(1.1), 200)
+        print(f"rank {hosts} hosts: {micros:.0f} us")
 
 
 def make_member(number):
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -6,8 +6,8 @@
 from hyssopspring_fakes.limitload import PATTERNS, WAYS, LimitLoad
 
 SEEDS = range(1, 6)
-WINDOW = 8.0
-BOUND = (66_604.0 * WINDOW + 66_604.0) * 1.1 + 110_000.0
+WINDOW_SECONDS = 8.0
+MAX_WINDOW_TOKENS = (66_604.0 * WINDOW_SECONDS + 66_604.0) * 1.1 + 110_000.0
 """Tokens that may pass in any window."""
 
 
@@ -21,8 +21,11 @@
         for way in WAYS:
             loads = [LimitLoad(pattern, way, seed=seed) for seed in SEEDS]
             served = statistics.mean(load.run() for load in loads)
-            most = max(load.most_in(WINDOW) for load in loads) / BOUND
-            cells.append(f"{served:.3f}, {most:.2f} of the bound")
+            fullest = (
+                max(load.most_in(WINDOW_SECONDS) for load in loads)
+                / MAX_WINDOW_TOKENS
+            )
+            cells.append(f"{served:.3f}, {fullest:.2f} of the bound")
         write(f"| {pattern.name} | " + " | ".join(cells) + " |\n")
 
 
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -16,7 +16,7 @@
 from twisted.web.http_headers import Headers
 
 LISTEN, TARGET = sys.argv[1:3]
-PASSED = ("content-type", "x-request-id")
+FORWARDED_HEADERS = ("content-type", "x-request-id")
 POOL = HTTPConnectionPool(reactor)
 POOL.maxPersistentPerHost = 64
 AGENT = Agent(reactor, pool=POOL)
@@ -29,26 +29,26 @@
 
     def render(self, request):
         """Pass one request through."""
-        work = AGENT.request(
+        pending = AGENT.request(
             request.method,
             b"http://" + TARGET.encode() + request.uri,
             Headers(
                 {
                     name: request.requestHeaders.getRawHeaders(name, [])
-                    for name in PASSED
+                    for name in FORWARDED_HEADERS
                 }
             ),
             FileBodyProducer(request.content),
         )
-        work.addCallback(self.answered, request)
+        pending.addCallback(self.read_response, request)
         return server.NOT_DONE_YET
 
-    def answered(self, response, request):
+    def read_response(self, response, request):
         """Read the answer."""
         request.setResponseCode(response.code)
-        return readBody(response).addCallback(self.whole, request)
+        return readBody(response).addCallback(self.send_response, request)
 
-    def whole(self, body, request):
+    def send_response(self, body, request):
         """Send the answer back."""
         request.setHeader(b"content-length", str(len(body)).encode())
         request.write(body)
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -33,18 +33,18 @@
 from hyssopspring_fakes.engine import EngineModel, FakeEngine, Job
 
 REGIONS = {"dar": 10, "arusha": 3, "mwanza": 1}
-PHASES = {"dar": 0.0, "arusha": 2.1, "mwanza": 4.2}
-ROUND_TRIP = 0.06
+PHASES_RADIANS = {"dar": 0.0, "arusha": 2.1, "mwanza": 4.2}
+ROUND_TRIP_SECONDS = 0.06
 SLOTS = 4
-PREFIX = 4000
-QUICK_TOKENS = 24
+PREFIX_CHARACTERS = 4000
+INTERACTIVE_TOKENS = 24
 BATCH_TOKENS = 60
-QUICK_DEADLINE = 5.0
-BATCH_DEADLINE = 600.0
-CONNECT_TIMEOUT = 0.5
-UTILISATION = 0.55
-QUICK_SECONDS = 0.45
-BOUND_TO_HOME = 0.18
+INTERACTIVE_DEADLINE_SECONDS = 5.0
+BATCH_DEADLINE_SECONDS = 600.0
+CONNECT_TIMEOUT_SECONDS = 0.5
+TARGET_UTILISATION = 0.55
+INTERACTIVE_SERVICE_SECONDS = 0.45
+HOME_ONLY_SHARE = 0.18
 BATCH_SHARE = 0.08
 TEMPLATES = 40
 ANSWERED = Answered(200)
@@ -90,12 +90,12 @@
 
 
 @dataclass
-class Asked:
+class RequestResult:
     """One request of a run, and what became of it."""
 
     at: float
     home: str
-    quick: bool
+    interactive: bool
     first: float = math.inf
     served: str = ""
     attempts: int = 0
@@ -103,7 +103,7 @@
 
 
 @dataclass
-class World:
+class Simulation:
     """All engines, and what each region's host knows."""
 
     seed: int
@@ -113,7 +113,7 @@
     tables: dict = field(default_factory=dict)
     centres: dict = field(default_factory=dict)
     cut: set = field(default_factory=set)
-    asked: list = field(default_factory=list)
+    results: list = field(default_factory=list)
     reports: int = 0
     platform_down: bool = False
     rate_factor: float = 1.0
@@ -127,7 +127,7 @@
             regions={
                 region: Region(
                     round_trip_ms={
-                        other: ROUND_TRIP * 1000
+                        other: ROUND_TRIP_SECONDS * 1000
                         for other in REGIONS
                         if other != region
                     }
@@ -154,7 +154,7 @@
                 prefill=0.08,
                 decode=0.01,
                 cached=12,
-                prefix=PREFIX,
+                prefix=PREFIX_CHARACTERS,
             )
             self.engines[name] = SimEngine(self.clock, name, model)
             entries.append(
@@ -179,7 +179,7 @@
 
         self.clock.callLater(0, again)
 
-    def reaches(self, one, other):
+    def can_reach(self, one, other):
         """Whether two regions reach each other."""
         return one == other or not self.cut & {one, other}
 
@@ -192,7 +192,7 @@
         for region, table in self.tables.items():
             targets = dict(table.summary(now))
             for other, centres in self.centres.items():
-                if other == region or not self.reaches(region, other):
+                if other == region or not self.can_reach(region, other):
                     continue
                 centres.take(
                     CentreSummary(
@@ -220,54 +220,70 @@
             ),
         )
 
-    def traffic(self, seconds):
+    def schedule_traffic(self, seconds):
         """Schedule the arrivals of *seconds*."""
         slots = {region: count * SLOTS for region, count in REGIONS.items()}
-        even = sum(slots.values()) * UTILISATION / QUICK_SECONDS
+        mean_rate = (
+            sum(slots.values())
+            * TARGET_UTILISATION
+            / INTERACTIVE_SERVICE_SECONDS
+        )
         for region in REGIONS:
             share = 0.25 + 0.25 * slots[region] / sum(slots.values()) * 3
-            self.arrive(region, even * share / 1.5, seconds)
+            self.schedule_arrival(region, mean_rate * share / 1.5, seconds)
 
-    def arrive(self, region, rate, seconds):
+    def schedule_arrival(self, region, rate, seconds):
         """Schedule the next arrival of a region."""
         now = self.clock.seconds()
         if now >= seconds:
             return
-        peak = 1 + 0.5 * math.sin(PHASES[region] + now / seconds * 6.28)
+        peak = 1 + 0.5 * math.sin(
+            PHASES_RADIANS[region] + now / seconds * 6.28
+        )
         pause = self.rng.expovariate(rate * peak * self.rate_factor)
-        self.clock.callLater(pause, self.arrived, region, rate, seconds)
+        self.clock.callLater(pause, self.handle_arrival, region, rate, seconds)
 
-    def arrived(self, region, rate, seconds):
+    def handle_arrival(self, region, rate, seconds):
         """Send one request and schedule the next."""
-        self.arrive(region, rate, seconds)
-        quick = self.rng.random() >= BATCH_SHARE
+        self.schedule_arrival(region, rate, seconds)
+        interactive = self.rng.random() >= BATCH_SHARE
         template = int(self.rng.paretovariate(1.2)) % TEMPLATES
-        start = f"{region}{template}".ljust(PREFIX, "x")
+        start = f"{region}{template}".ljust(PREFIX_CHARACTERS, "x")
         more = (
-            300 if quick else min(30_000, 3000 * self.rng.paretovariate(1.5))
+            300
+            if interactive
+            else min(30_000, 3000 * self.rng.paretovariate(1.5))
         )
         body = {
             "prompt": start + "y" * int(more),
             "stream": True,
-            "max_tokens": QUICK_TOKENS if quick else BATCH_TOKENS,
+            "max_tokens": INTERACTIVE_TOKENS if interactive else BATCH_TOKENS,
         }
-        asked = Asked(self.clock.seconds(), region, quick)
-        self.asked.append(asked)
-        Attempts(self, asked, body, self.make_request(asked, body)).next()
+        result = RequestResult(self.clock.seconds(), region, interactive)
+        self.results.append(result)
+        RequestSimulation(
+            self, result, body, self.make_request(result, body)
+        ).next()
 
-    def make_request(self, asked, body):
+    def make_request(self, result, body):
         """Return the `Request` of one arrival."""
-        bound = self.rng.random() < BOUND_TO_HOME
-        regions = {asked.home} if bound else set(REGIONS)
-        deadline = QUICK_DEADLINE if asked.quick else BATCH_DEADLINE
+        bound = self.rng.random() < HOME_ONLY_SHARE
+        regions = {result.home} if bound else set(REGIONS)
+        deadline = (
+            INTERACTIVE_DEADLINE_SECONDS
+            if result.interactive
+            else BATCH_DEADLINE_SECONDS
+        )
         return Request(
-            id=f"r{len(self.asked)}",
-            workspace=f"w-{asked.home}",
+            id=f"r{len(self.results)}",
+            workspace=f"w-{result.home}",
             target=MODEL,
             residency=frozenset(regions),
-            home=asked.home,
+            home=result.home,
             deadline=self.clock.seconds() + deadline,
-            priority=Priority.INTERACTIVE if asked.quick else Priority.BATCH,
+            priority=Priority.INTERACTIVE
+            if result.interactive
+            else Priority.BATCH,
             prefix=hash_bytes(body["prompt"][:256].encode()),
         )
 
@@ -283,53 +299,55 @@
         )
 
 
-class Attempts:
+class RequestSimulation:
     """Carry out one request by the policy of the run."""
 
-    def __init__(self, world, asked, body, request):
-        self.world = world
-        self.asked = asked
+    def __init__(self, simulation, result, body, request):
+        self.simulation = simulation
+        self.result = result
         self.body = body
         self.request = request
         self.plan = NOTHING
         self.queue = NOTHING
-        if world.policy == "hyssopspring":
-            self.plan = world.make_plan(request, asked.home)
+        if simulation.policy == "hyssopspring":
+            self.plan = simulation.make_plan(request, result.home)
 
     def next(self):
         """Make the next attempt, or give up."""
-        now = self.world.clock.seconds()
+        now = self.simulation.clock.seconds()
         if self.plan is not NOTHING:
             step = self.plan.next(now)
             if isinstance(step, Finish):
-                self.give_up()
+                self.retry_if_storm()
             elif isinstance(step, Forward):
                 self.forward(step.summary.region)
             else:
-                self.attempt(self.asked.home, step.server.entry.name)
+                self.attempt(self.result.home, step.server.entry.name)
             return
         if self.queue is NOTHING:
-            choose = POLICIES[self.world.policy]
-            self.queue = choose(self.world, self.asked, self.request)[:3]
+            choose = POLICIES[self.simulation.policy]
+            self.queue = choose(self.simulation, self.result, self.request)[:3]
         if not self.queue or now >= self.request.deadline:
-            self.give_up()
+            self.retry_if_storm()
             return
         self.attempt(*self.queue.pop(0))
 
-    def give_up(self):
+    def retry_if_storm(self):
         """Let the caller come back, if the scenario has it so."""
-        if self.world.storm and self.asked.attempts < 12:
+        if self.simulation.storm and self.result.attempts < 12:
             self.queue = NOTHING
             if self.plan is not NOTHING:
-                self.plan = self.world.make_plan(self.request, self.asked.home)
-            self.world.clock.callLater(0.2, self.next)
+                self.plan = self.simulation.make_plan(
+                    self.request, self.result.home
+                )
+            self.simulation.clock.callLater(0.2, self.next)
 
     def forward(self, region):
         """Have another region's host choose a server of its own."""
-        world = self.world
-        world.centres[self.asked.home].begin(region)
+        simulation = self.simulation
+        simulation.centres[self.result.home].begin(region)
         name = NOTHING
-        if world.reaches(self.asked.home, region):
+        if simulation.can_reach(self.result.home, region):
             remote = Request(
                 **{
                     name: getattr(self.request, name)
@@ -339,13 +357,15 @@
                 path=("h",),
                 attempts=1,
             )
-            step = world.make_plan(remote, region).next(world.clock.seconds())
+            step = simulation.make_plan(remote, region).next(
+                simulation.clock.seconds()
+            )
             if not isinstance(step, Finish):
                 name = step.server.entry.name
         if name is NOTHING:
-            world.clock.callLater(
-                ROUND_TRIP,
-                self.ended,
+            simulation.clock.callLater(
+                ROUND_TRIP_SECONDS,
+                self.handle_outcome,
                 region,
                 NOTHING,
                 NotRun(Reason.NO_SERVER),
@@ -355,62 +375,74 @@
 
     def attempt(self, region, name, *, forwarded=False):
         """Send the request to a server, over the network if it is far."""
-        world = self.world
-        self.asked.attempts += 1
-        if not world.reaches(self.asked.home, region):
-            world.clock.callLater(
-                CONNECT_TIMEOUT,
-                self.ended,
+        simulation = self.simulation
+        self.result.attempts += 1
+        if not simulation.can_reach(self.result.home, region):
+            simulation.clock.callLater(
+                CONNECT_TIMEOUT_SECONDS,
+                self.handle_outcome,
                 region,
                 NOTHING,
                 NotRun(Reason.CONNECT),
             )
             return
-        if name not in world.engines:
+        if name not in simulation.engines:
             self.next()
             return
-        world.tables[region].begin(name)
-        world.in_flight[name] = world.in_flight.get(name, 0) + 1
-        away = ROUND_TRIP / 2 if region != self.asked.home else 0.0
-        began = world.clock.seconds()
-        world.clock.callLater(away, self.arrive, region, name, away, began)
+        simulation.tables[region].begin(name)
+        simulation.in_flight[name] = simulation.in_flight.get(name, 0) + 1
+        one_way_delay = (
+            ROUND_TRIP_SECONDS / 2 if region != self.result.home else 0.0
+        )
+        began = simulation.clock.seconds()
+        simulation.clock.callLater(
+            one_way_delay,
+            self.submit_to_engine,
+            region,
+            name,
+            one_way_delay,
+            began,
+        )
 
-    def arrive(self, region, name, away, began):
+    def submit_to_engine(self, region, name, one_way_delay, began):
         """Hand the request to the engine."""
-        world = self.world
+        simulation = self.simulation
         state = {"first": NOTHING, "over": False}
 
         def first():
-            state["first"] = world.clock.seconds()
+            state["first"] = simulation.clock.seconds()
             if not state["over"]:
-                self.asked.first = min(
-                    self.asked.first, state["first"] + away - self.asked.at
+                self.result.first = min(
+                    self.result.first,
+                    state["first"] + one_way_delay - self.result.at,
                 )
-                self.asked.served = region
+                self.result.served = region
 
         def done(outcome=ANSWERED):
             if state["over"]:
                 return
             state["over"] = True
-            if late.active():
-                late.cancel()
+            if deadline_call.active():
+                deadline_call.cancel()
             self.release(region, name, outcome, state["first"], began)
-            world.clock.callLater(away, self.ended, region, name, outcome)
+            simulation.clock.callLater(
+                one_way_delay, self.handle_outcome, region, name, outcome
+            )
 
         def expired():
             job.cancelled = True
             done(Unknown(Reason.DEADLINE))
 
-        engine = world.engines.get(name)
+        engine = simulation.engines.get(name)
         if engine is None:
             outcome = NotRun(Reason.CONNECT)
             self.release(region, name, outcome, NOTHING, began)
-            self.ended(region, name, outcome)
+            self.handle_outcome(region, name, outcome)
             return
-        left = max(0.001, self.request.deadline - world.clock.seconds())
-        late = world.clock.callLater(left, expired)
+        left = max(0.001, self.request.deadline - simulation.clock.seconds())
+        deadline_call = simulation.clock.callLater(left, expired)
         job = engine.submit(
-            f"{self.request.id}-{self.asked.attempts}",
+            f"{self.request.id}-{self.result.attempts}",
             self.body,
             int(self.request.priority),
             first,
@@ -419,90 +451,98 @@
 
     def release(self, region, name, outcome, first, began):
         """Count the end of an attempt at its server."""
-        world = self.world
-        world.in_flight[name] -= 1
+        simulation = self.simulation
+        simulation.in_flight[name] -= 1
         wait = making = NOTHING
         if first is not NOTHING:
             wait = first - began
-            making = world.clock.seconds() - first
-        world.tables[region].finish(
+            making = simulation.clock.seconds() - first
+        simulation.tables[region].finish(
             name,
-            world.clock.seconds(),
+            simulation.clock.seconds(),
             failed=not isinstance(outcome, Answered),
             first_token=wait,
             making=making,
         )
-        if name not in world.engines:
+        if name not in simulation.engines:
             return
-        report = world.engines[name].report()
-        world.take_report(region, name, report, world.clock.seconds())
+        report = simulation.engines[name].report()
+        simulation.take_report(
+            region, name, report, simulation.clock.seconds()
+        )
 
-    def ended(self, region, name, outcome):
+    def handle_outcome(self, region, name, outcome):
         """Note the outcome and go on if there is none yet."""
         if self.plan is not NOTHING:
             self.plan.record(outcome)
         if isinstance(outcome, Answered):
-            self.asked.done = True
+            self.result.done = True
             return
         self.next()
 
 
-def places(world, request):
+def candidate_pairs(simulation, request):
     """Return all permitted (region, server) pairs."""
     return [
         (name.rsplit("-", 1)[0], name)
-        for name in world.engines
+        for name in simulation.engines
         if name.rsplit("-", 1)[0] in request.residency
     ]
 
 
-def load_of(world, place):
+def reported_load(simulation, place):
     """Return the known load of a server."""
     region, name = place
-    return world.tables[region].servers[name].load(world.clock.seconds())
+    return (
+        simulation.tables[region]
+        .servers[name]
+        .load(simulation.clock.seconds())
+    )
 
 
 @policy("round robin")
-def round_robin(world, asked, request):
+def round_robin(simulation, result, request):
     """Take all servers in turn."""
-    found = places(world, request)
-    start = len(world.asked) % len(found)
+    found = candidate_pairs(simulation, request)
+    start = len(simulation.results) % len(found)
     return found[start:] + found[:start]
 
 
 @policy("least in flight")
-def least_in_flight(world, asked, request):
+def least_in_flight(simulation, result, request):
     """Take the server with the fewest own requests, anywhere."""
-    found = places(world, request)
-    world.rng.shuffle(found)
-    return sorted(found, key=lambda p: world.in_flight.get(p[1], 0))
+    found = candidate_pairs(simulation, request)
+    simulation.rng.shuffle(found)
+    return sorted(found, key=lambda p: simulation.in_flight.get(p[1], 0))
 
 
 @policy("two choices")
-def two_choices(world, asked, request):
+def two_choices(simulation, result, request):
     """Take the less loaded of two drawn at random, anywhere."""
-    found = places(world, request)
-    drawn = [world.rng.choice(found) for _ in range(2)]
-    return sorted(drawn, key=lambda p: load_of(world, p))
+    found = candidate_pairs(simulation, request)
+    drawn = [simulation.rng.choice(found) for _ in range(2)]
+    return sorted(drawn, key=lambda p: reported_load(simulation, p))
 
 
 @policy("home only")
-def home_only(world, asked, request):
+def home_only(simulation, result, request):
     """Take the least loaded server at home."""
-    found = [p for p in places(world, request) if p[0] == asked.home]
-    return sorted(found, key=lambda p: load_of(world, p))
+    found = [
+        p for p in candidate_pairs(simulation, request) if p[0] == result.home
+    ]
+    return sorted(found, key=lambda p: reported_load(simulation, p))
 
 
 @policy("nearest with spare")
-def nearest_with_spare(world, asked, request):
+def nearest_with_spare(simulation, result, request):
     """Take home while it has a free slot, else who has the most."""
-    found = places(world, request)
+    found = candidate_pairs(simulation, request)
     return sorted(
         found,
         key=lambda p: (
-            load_of(world, p) >= SLOTS,
-            p[0] != asked.home,
-            load_of(world, p),
+            reported_load(simulation, p) >= SLOTS,
+            p[0] != result.home,
+            reported_load(simulation, p),
         ),
     )
 
@@ -510,103 +550,112 @@
 POLICIES["hyssopspring"] = NOTHING
 
 
-def halve(world):
+def remove_half_of_dar(simulation):
     """Take half of the largest region's engines away."""
     for number in range(5):
-        world.engines[f"dar-{number}"].faults.slow = 1000.0
-        del world.tables["dar"].servers[f"dar-{number}"]
-        del world.engines[f"dar-{number}"]
+        simulation.engines[f"dar-{number}"].faults.slow = 1000.0
+        del simulation.tables["dar"].servers[f"dar-{number}"]
+        del simulation.engines[f"dar-{number}"]
 
 
-def set_all(**faults):
+def set_engine_faults(**faults):
     """Return a switch that sets faults of all engines."""
 
-    def switch(world):
-        for engine in world.engines.values():
+    def switch(simulation):
+        for engine in simulation.engines.values():
             for name, value in faults.items():
                 setattr(engine.faults, name, value)
 
     return switch
 
 
-def slow_server(world):
+def slow_server(simulation):
     """Make one engine ten times slower than it reports."""
-    world.engines["dar-3"].faults.slow = 10.0
+    simulation.engines["dar-3"].faults.slow = 10.0
 
 
-def set_world(**values):
+def set_simulation(**values):
     """Return a switch that sets attributes of the world."""
 
-    def switch(world):
+    def switch(simulation):
         for name, value in values.items():
-            setattr(world, name, value)
+            setattr(simulation, name, value)
 
     return switch
 
 
-def clear_caches(world):
+def reconnect_with_cold_caches(simulation):
     """Heal the cut region, with cold caches."""
-    world.cut = set()
-    for name, engine in world.engines.items():
+    simulation.cut = set()
+    for name, engine in simulation.engines.items():
         if name.startswith("arusha"):
             engine.prefixes.clear()
 
 
 SCENARIOS = {
     "ordinary": [],
-    "half of dar lost": [(0.3, halve)],
+    "half of dar lost": [(0.3, remove_half_of_dar)],
     "arusha cut, heals cold": [
-        (0.3, set_world(cut={"arusha"})),
-        (0.6, clear_caches),
+        (0.3, set_simulation(cut={"arusha"})),
+        (0.6, reconnect_with_cold_caches),
     ],
-    "reports 5 s late": [(0.0, set_all(report_lag=5.0))],
+    "reports 5 s late": [(0.0, set_engine_faults(report_lag=5.0))],
     "server 10x slower": [(0.3, slow_server)],
     "retry storm": [
-        (0.0, set_world(storm=True)),
-        (0.3, set_world(rate_factor=2.5)),
-        (0.5, set_world(rate_factor=1.0)),
+        (0.0, set_simulation(storm=True)),
+        (0.3, set_simulation(rate_factor=2.5)),
+        (0.5, set_simulation(rate_factor=1.0)),
     ],
 }
 
 
 def run(name, scenario, seconds, seed):
     """Return the figures of one policy in one scenario."""
-    world = World(seed, name)
+    simulation = Simulation(seed, name)
     for part, switch in scenario:
-        world.clock.callLater(part * seconds, switch, world)
-    world.clock.callLater(0, world.traffic, seconds)
+        simulation.clock.callLater(part * seconds, switch, simulation)
+    simulation.clock.callLater(0, simulation.schedule_traffic, seconds)
     busy = 0.0
-    while world.clock.seconds() < seconds + QUICK_DEADLINE:
-        world.clock.advance(0.005)
-    busy = sum(engine.busy_seconds for engine in world.engines.values())
-    return figures(world, busy, seconds)
+    while simulation.clock.seconds() < seconds + INTERACTIVE_DEADLINE_SECONDS:
+        simulation.clock.advance(0.005)
+    busy = sum(engine.busy_seconds for engine in simulation.engines.values())
+    return summarize(simulation, busy, seconds)
 
 
-def figures(world, busy, seconds):
+def summarize(simulation, busy, seconds):
     """Return what users measure."""
-    quick = [asked for asked in world.asked if asked.quick]
-    firsts = sorted(asked.first for asked in quick)
-    good = [asked for asked in quick if asked.first <= QUICK_DEADLINE]
-    answered = [asked for asked in world.asked if asked.done]
-    away = sum(1 for one in answered if one.served != one.home)
+    interactive = [
+        result for result in simulation.results if result.interactive
+    ]
+    firsts = sorted(result.first for result in interactive)
+    good = [
+        result
+        for result in interactive
+        if result.first <= INTERACTIVE_DEADLINE_SECONDS
+    ]
+    answered = [result for result in simulation.results if result.done]
+    served_remotely = sum(1 for one in answered if one.served != one.home)
     return {
         "p50": firsts[len(firsts) // 2],
         "p95": firsts[int(len(firsts) * 0.95)],
         "p99": firsts[int(len(firsts) * 0.99)],
-        "good": len(good) / len(quick),
+        "good": len(good) / len(interactive),
         "cost": busy / max(1, len(answered)),
-        "away": away / max(1, len(answered)),
-        "tries": statistics.mean(max(1, a.attempts) for a in world.asked),
-        "recovery": recovery(quick, seconds),
+        "away": served_remotely / max(1, len(answered)),
+        "tries": statistics.mean(
+            max(1, a.attempts) for a in simulation.results
+        ),
+        "recovery": recovery(interactive, seconds),
     }
 
 
-def recovery(quick, seconds):
+def recovery(interactive, seconds):
     """Return the seconds after 60% of the run until goodput is back."""
     bad = [
-        asked.at - seconds * 0.6
-        for asked in quick
-        if asked.at > seconds * 0.6 and asked.first > QUICK_DEADLINE
+        result.at - seconds * 0.6
+        for result in interactive
+        if result.at > seconds * 0.6
+        and result.first > INTERACTIVE_DEADLINE_SECONDS
     ]
     return max(bad, default=0.0)
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -21,10 +21,12 @@
 from processes import Processes, free_address  # noqa: E402
 
 CALLERS = 16
-SECONDS = 4.0
+MEASURE_SECONDS = 4.0
 ROUNDS = 3
-WHOLE = b'{"model":"quick-draft","prompt":"two lorries","max_tokens":1}'
-STREAM = (
+BUFFERED_BODY = (
+    b'{"model":"quick-draft","prompt":"two lorries","max_tokens":1}'
+)
+STREAM_BODY = (
     b'{"model":"quick-draft","prompt":"two lorries","max_tokens":64,'
     b'"stream":true}'
 )
@@ -37,7 +39,7 @@
 }
 
 
-class Caller(threading.Thread):
+class ClosedLoopCaller(threading.Thread):
     """One closed-loop caller."""
 
     def __init__(self, address, body, until):
@@ -55,15 +57,15 @@
             "X-Request-Id": "bench",
         }
         while time.monotonic() < self.until:
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             self.connection.request(
                 "POST", "/v1/completions", self.body, headers
             )
-            answer = self.connection.getresponse()
-            body = answer.read()
-            if answer.status != 200:
-                raise SystemExit(f"status {answer.status}: {body[:200]!r}")
-            self.times.append(time.perf_counter() - began)
+            response = self.connection.getresponse()
+            body = response.read()
+            if response.status != 200:
+                raise SystemExit(f"status {response.status}: {body[:200]!r}")
+            self.times.append(time.perf_counter() - started_at)
             self.events += body.count(b"data: {")
 
 
@@ -81,8 +83,8 @@
         time of the process, p50 and p99 in milliseconds.
     """
     used = processor_seconds(pid)
-    until = time.monotonic() + SECONDS
-    callers = [Caller(address, body, until) for _ in range(CALLERS)]
+    until = time.monotonic() + MEASURE_SECONDS
+    callers = [ClosedLoopCaller(address, body, until) for _ in range(CALLERS)]
     for caller in callers:
         caller.start()
     for caller in callers:
@@ -90,7 +92,7 @@
     times = sorted(t for caller in callers for t in caller.times)
     events = sum(caller.events for caller in callers)
     return (
-        len(times) / SECONDS,
+        len(times) / MEASURE_SECONDS,
         len(times) / (processor_seconds(pid) - used),
         events / (processor_seconds(pid) - used),
         times[len(times) // 2] * 1000,
@@ -98,7 +100,7 @@
     )
 
 
-def resident(pid):
+def resident_megabytes(pid):
     """Return the resident memory of a process in MB."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
@@ -110,59 +112,65 @@
     """Print the table."""
     with tempfile.TemporaryDirectory() as directory:
         processes = Processes(TOPOLOGY, directory)
-        bare = None
+        pass_through = None
         try:
             processes.start()
-            bare_address = free_address()
+            pass_through_address = free_address()
             engine = next(
                 row for row in processes.rows if row["kind"] == "engine"
             )
-            bare = subprocess.Popen(
+            pass_through = subprocess.Popen(
                 [
                     sys.executable,
                     str(ROOT / "benchmarks" / "passthrough.py"),
-                    bare_address,
+                    pass_through_address,
                     engine["address"],
                 ]
             )
             time.sleep(1.5)
-            report(processes, bare_address, bare.pid, engine)
+            report(processes, pass_through_address, pass_through.pid, engine)
         finally:
-            if bare:
-                bare.terminate()
-                bare.wait()
+            if pass_through:
+                pass_through.terminate()
+                pass_through.wait()
             processes.stop()
 
 
-def report(processes, bare, bare_pid, engine):
+def report(processes, pass_through, pass_through_pid, engine):
     """Measure all in turn and print."""
     gateway = processes.gateways()[0]
     pid = processes.running[gateway["name"]].pid
-    idle = resident(pid)
-    places = {
+    idle = resident_megabytes(pid)
+    targets = {
         "gateway": (gateway["address"], pid),
-        "pass-through": (bare, bare_pid),
+        "pass-through": (pass_through, pass_through_pid),
         "direct": (engine["address"], processes.running[engine["name"]].pid),
     }
-    for name, body in (("whole", WHOLE), ("stream of 64", STREAM)):
-        rows = {place: [] for place in places}
+    for name, body in (
+        ("whole", BUFFERED_BODY),
+        ("stream of 64", STREAM_BODY),
+    ):
+        rows = {target: [] for target in targets}
         for _ in range(ROUNDS):
-            for place, (address, number) in places.items():
-                rows[place].append(measure(address, number, body))
+            for target, (address, number) in targets.items():
+                rows[target].append(measure(address, number, body))
         print(f"{name}: medians of {ROUNDS} rounds, {CALLERS} callers")
         print("  requests/s, requests and events per processor second,")
         print("  p50 ms, p99 ms")
         medians = {}
-        for place, found in rows.items():
-            medians[place] = [
+        for target, found in rows.items():
+            medians[target] = [
                 statistics.median(column)
                 for column in zip(*found, strict=True)
             ]
-            numbers = "  ".join(f"{value:9.1f}" for value in medians[place])
-            print(f"  {place:12s} {numbers}")
+            numbers = "  ".join(f"{value:9.1f}" for value in medians[target])
+            print(f"  {target:12s} {numbers}")
         ratio = medians["gateway"][1] / medians["pass-through"][1]
         print(f"  gateway / pass-through, by processor time: {ratio:.2f}")
-    print(f"resident MB: idle {idle:.1f}, after load {resident(pid):.1f}")
+    print(
+        f"resident MB: idle {idle:.1f}, "
+        f"after load {resident_megabytes(pid):.1f}"
+    )
 
 
 if __name__ == "__main__":
--- a/examples/processes.py
+++ b/examples/processes.py
@@ -19,10 +19,10 @@
 import yaml
 
 LOOPBACK = "127.0.0.1"
-SECRET = "secret of the example fleet"
-TOKEN = "operator-token"
-STARTED_WITHIN = 30.0
-STOPPED_WITHIN = 20.0
+PEER_SECRET = "secret of the example fleet"
+OPERATOR_TOKEN = "operator-token"
+START_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 20.0
 
 
 def free_address():
@@ -48,22 +48,22 @@
         self.admin = free_address()
         self.rows = []
         self.running = {}
-        for region, shape in topology["regions"].items():
-            self.plan_region(region, shape)
+        for region, region_shape in topology["regions"].items():
+            self.add_region_rows(region, region_shape)
 
-    def plan_region(self, region, shape):
+    def add_region_rows(self, region, region_shape):
         """Note the host-list rows of one region."""
         for kind, count, prefix in (
-            ("entry", shape["gateways"], "gateway"),
-            ("engine", shape["engines"], "engine"),
-            ("service", shape["services"], "service"),
+            ("entry", region_shape["gateways"], "gateway"),
+            ("engine", region_shape["engines"], "engine"),
+            ("service", region_shape["services"], "service"),
         ):
             for number in range(count):
                 self.rows.append(
-                    self.plan_row(region, kind, f"{region}-{prefix}-{number}")
+                    self.make_row(region, kind, f"{region}-{prefix}-{number}")
                 )
 
-    def plan_row(self, region, kind, name):
+    def make_row(self, region, kind, name):
         """Return one host-list row."""
         row = {
             "name": name,
@@ -97,7 +97,7 @@
         self.run("admin", "hyssop-admin", "--settings", self.admin_settings())
         self.wait_for(self.admin, "/healthz")
         text = yaml.safe_dump(self.configuration())
-        status, report = self.operate("PUT", "/v1/files/10-base.yaml", text)
+        status, report = self.call_admin("PUT", "/v1/files/10-base.yaml", text)
         if status != 200:
             raise SystemExit(f"the configuration was refused: {report}")
         for row in self.gateways():
@@ -126,7 +126,7 @@
             "regions": list(self.topology["regions"]),
             "platform": f"etcd+http://{self.platform}",
             "host_list": f"http://{self.platform}",
-            "peer_secret": SECRET,
+            "peer_secret": PEER_SECRET,
         }
 
     def gateway_settings(self, row):
@@ -153,29 +153,29 @@
         region = next(iter(self.topology["regions"]))
         settings = self.common_settings("admin-0", region) | {
             "listen": self.admin,
-            "tokens": {"operators": TOKEN},
+            "tokens": {"operators": OPERATOR_TOKEN},
         }
         self.write(
             "hyssopctl.yaml",
-            {"admin": f"http://{self.admin}", "token": TOKEN},
+            {"admin": f"http://{self.admin}", "token": OPERATOR_TOKEN},
         )
         return self.write("admin.yaml", settings)
 
     def configuration(self):
         """Return the first configuration file."""
         regions = list(self.topology["regions"])
-        distance = self.topology["round_trip_ms"]
+        round_trip_ms = self.topology["round_trip_ms"]
         workspaces = {}
         for name, values in self.topology["workspaces"].items():
-            rights = dict(values)
-            key = rights.pop("key")
+            permissions = dict(values)
+            key = permissions.pop("key")
             digest = hashlib.sha256(key.encode()).hexdigest()
-            workspaces[name] = rights | {"keys": {"example": digest}}
+            workspaces[name] = permissions | {"keys": {"example": digest}}
         return {
             "regions": {
                 region: {
                     "round_trip_ms": {
-                        other: float(distance)
+                        other: float(round_trip_ms)
                         for other in regions
                         if other != region
                     }
@@ -204,8 +204,8 @@
 
     def wait_for(self, address, path):
         """Wait until *path* answers with status 200."""
-        give_up = time.monotonic() + STARTED_WITHIN
-        while time.monotonic() < give_up:
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
                 status, _ = self.fetch("GET", f"http://{address}{path}")
                 if status == 200:
@@ -213,13 +213,13 @@
             time.sleep(0.05)
         raise TimeoutError(f"no answer from {address}{path}")
 
-    def operate(self, method, path, text=None):
+    def call_admin(self, method, path, text=None):
         """Ask the administration; return status and decoded answer."""
         return self.fetch(
             method,
             f"http://{self.admin}{path}",
             text.encode() if text is not None else None,
-            {"Authorization": f"Bearer {TOKEN}"},
+            {"Authorization": f"Bearer {OPERATOR_TOKEN}"},
         )
 
     def fetch(self, method, url, body=None, headers=None, timeout=20):
@@ -228,8 +228,8 @@
             url, body, headers or {}, method=method
         )
         try:
-            with urllib.request.urlopen(request, timeout=timeout) as answer:
-                return answer.status, json.loads(answer.read() or b"null")
+            with urllib.request.urlopen(request, timeout=timeout) as response:
+                return response.status, json.loads(response.read() or b"null")
         except urllib.error.HTTPError as error:
             return error.code, json.loads(error.read() or b"null")
 
@@ -243,11 +243,11 @@
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        give_up = time.monotonic() + STOPPED_WITHIN
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for process in self.running.values():
-            left = max(0.1, give_up - time.monotonic())
+            remaining_seconds = max(0.1, deadline - time.monotonic())
             try:
-                process.wait(left)
+                process.wait(remaining_seconds)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
--- a/src/hyssopspring/__init__.py
+++ b/src/hyssopspring/__init__.py
@@ -2,7 +2,7 @@
 
 import importlib
 
-_HOMES = {
+_MODULES_BY_NAME = {
     "Accepted": "accepted",
     "Answered": "outcomes",
     "Configuration": "configuration",
@@ -43,7 +43,9 @@
     A host that was killed serves again only when its program is loaded,
     and no process needs all of these modules.
     """
-    if name not in _HOMES:
+    if name not in _MODULES_BY_NAME:
         raise AttributeError(f"module {__name__!r} has no {name!r}")
-    module = importlib.import_module(f".core.{_HOMES[name]}", __name__)
+    module = importlib.import_module(
+        f".core.{_MODULES_BY_NAME[name]}", __name__
+    )
     return getattr(module, name)
--- a/src/hyssopspring/admin.py
+++ b/src/hyssopspring/admin.py
@@ -13,7 +13,7 @@
 from .net.control import PageReader
 from .net.messages import Signer
 from .net.serving import LimitedSite, Router
-from .observing import log_failure, make_rng, make_timeline
+from .observability import log_failure, make_rng, make_timeline
 from .settings import AdminSettings, settings_command, split_address
 from .stores import etcd  # noqa: F401 - registers itself
 from .stores.hosts import HostListClient
--- a/src/hyssopspring/ctl.py
+++ b/src/hyssopspring/ctl.py
@@ -16,13 +16,13 @@
 from .core.sentinels import NOTHING
 from .net.clients import fetch, make_agent
 from .plots import plot_timeline
-from .records import cause_of, read_records, record_line
+from .records import cause_of, format_record, read_records
 from .settings import EXIT_BAD_SETTINGS, load_settings
 
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
-TIMEOUT = 20.0
-FOLLOW_EVERY = 1.0
+ADMIN_TIMEOUT_SECONDS = 20.0
+FOLLOW_INTERVAL_SECONDS = 1.0
 
 
 class CtlSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -38,7 +38,7 @@
     token: str
 
 
-class Unreachable(click.ClickException):
+class AdminUnreachableError(click.ClickException):
     """The administration did not answer."""
 
     exit_code = EXIT_UNREACHABLE
@@ -56,9 +56,9 @@
 
     def call(self, method, path, body=NOTHING):
         """Return status and decoded answer of one call."""
-        return run(lambda: self.ask(method, path, body))
+        return run_on_reactor(lambda: self.send_request(method, path, body))
 
-    async def ask(self, method, path, body):
+    async def send_request(self, method, path, body):
         """Send one call."""
         headers = Headers(
             {
@@ -66,23 +66,23 @@
                 b"content-type": [b"application/yaml"],
             }
         )
-        status, answer = await fetch(
+        status, response = await fetch(
             make_agent(reactor, persistent=False),
             method,
             self.settings.admin + path,
             body,
             clock=reactor,
-            timeout=TIMEOUT,
+            timeout=ADMIN_TIMEOUT_SECONDS,
             headers=headers,
         )
-        return status, msgspec.json.decode(answer)
+        return status, msgspec.json.decode(response)
 
 
-def run(function):
+def run_on_reactor(function):
     """Run a coroutine function on the reactor and return its result.
 
     Raises:
-        Unreachable: It failed.
+        AdminUnreachableError: It failed.
     """
     results = []
 
@@ -95,7 +95,9 @@
     if not results:
         sys.exit(130)
     if isinstance(results[0], Failure):
-        raise Unreachable(f"no answer: {results[0].getErrorMessage()}")
+        raise AdminUnreachableError(
+            f"no answer: {results[0].getErrorMessage()}"
+        )
     return results[0]
 
 
@@ -138,10 +140,10 @@
 def put_file(path, file):
     """Write FILE and wait until it is in force or refused."""
     source = pathlib.Path(file)
-    status, answer = load_client(path).call(
+    status, response = load_client(path).call(
         b"PUT", f"/v1/files/{source.name}", source.read_bytes()
     )
-    show_report(status, answer)
+    print_report(status, response)
 
 
 @config.command("rm")
@@ -149,23 +151,23 @@
 @click.pass_obj
 def remove_file(path, name):
     """Remove the file NAME."""
-    status, answer = load_client(path).call(b"DELETE", f"/v1/files/{name}")
-    show_report(status, answer)
+    status, response = load_client(path).call(b"DELETE", f"/v1/files/{name}")
+    print_report(status, response)
 
 
 @config.command("ls")
 @click.pass_obj
 def list_files(path):
     """List all files with their verdicts."""
-    status, answer = load_client(path).call(b"GET", "/v1/files")
-    fail_unless(status, answer)
-    click.echo(f"generation {answer['generation']}")
-    for row in answer["files"]:
-        where = (
+    status, response = load_client(path).call(b"GET", "/v1/files")
+    raise_unless_ok(status, response)
+    click.echo(f"generation {response['generation']}")
+    for row in response["files"]:
+        location = (
             f" line {row['line']}: {row['reason']}" if row["reason"] else ""
         )
-        held = "in force" if row["in_force"] else "not in force"
-        click.echo(f"{row['file']}: {row['verdict']}, {held}{where}")
+        state = "in force" if row["in_force"] else "not in force"
+        click.echo(f"{row['file']}: {row['verdict']}, {state}{location}")
 
 
 @config.command("check")
@@ -183,10 +185,10 @@
     if not online:
         click.echo(f"{file}: in order by itself")
         return
-    status, answer = load_client(path).call(
+    status, response = load_client(path).call(
         b"POST", f"/v1/check/{source.name}", source.read_bytes()
     )
-    show_report(status, answer)
+    print_report(status, response)
 
 
 @config.command("explain")
@@ -198,14 +200,16 @@
     query = f"/v1/explain?workspace={workspace}"
     if model:
         query += f"&model={model}"
-    status, answer = load_client(path).call(b"GET", query)
-    fail_unless(status, answer)
-    for row in answer["fields"]:
+    status, response = load_client(path).call(b"GET", query)
+    raise_unless_ok(status, response)
+    for row in response["fields"]:
         value = msgspec.json.encode(row["value"]).decode()
         click.echo(f"{row['path']} = {value}  (rule: {row['rule']})")
-        for one in row["files"]:
-            said = msgspec.json.encode(one["value"]).decode()
-            click.echo(f"    {one['file']}:{one['line']} says {said}")
+        for setting in row["files"]:
+            file_value = msgspec.json.encode(setting["value"]).decode()
+            click.echo(
+                f"    {setting['file']}:{setting['line']} says {file_value}"
+            )
 
 
 @main.command("forget-data-centre")
@@ -213,10 +217,10 @@
 @click.pass_obj
 def forget_data_centre(path, name):
     """Take off the data centre NAME, whose hosts are gone for good."""
-    status, answer = load_client(path).call(
+    status, response = load_client(path).call(
         b"DELETE", f"/v1/data-centres/{name}"
     )
-    fail_unless(status, answer)
+    raise_unless_ok(status, response)
     click.echo(f"forgotten: {name}")
 
 
@@ -224,9 +228,9 @@
 @click.pass_obj
 def show_status(path):
     """Show the state of all gateways."""
-    status, answer = load_client(path).call(b"GET", "/v1/status")
-    fail_unless(status, answer)
-    click.echo(yaml.safe_dump(answer, sort_keys=False).rstrip())
+    status, response = load_client(path).call(b"GET", "/v1/status")
+    raise_unless_ok(status, response)
+    click.echo(yaml.safe_dump(response, sort_keys=False).rstrip())
 
 
 @main.command("timeline")
@@ -238,11 +242,11 @@
     """Show the events of all processes in one order."""
     client = load_client(path)
     query = f"/v1/timeline?request={request}" if request else "/v1/timeline"
-    answer = run(lambda: print_events(client, query, follow))
-    for host in answer["silent"]:
+    response = run_on_reactor(lambda: print_events(client, query, follow))
+    for host in response["silent"]:
         click.echo(f"no answer from {host}", err=True)
     if plot:
-        plot_timeline(answer["events"], plot)
+        plot_timeline(response["events"], plot)
 
 
 @main.command("lines")
@@ -252,31 +256,31 @@
 def show_lines(files, request, cause):
     """Put log lines of several processes into one order."""
     lines = [line for file in files for line in file]
-    everything = records = read_records(lines)
+    all_records = records = read_records(lines)
     if request:
-        records = [one for one in records if one.request == request]
+        records = [record for record in records if record.request == request]
     for record in records:
-        click.echo(record_line(record))
+        click.echo(format_record(record))
     if cause:
-        click.echo(cause_of(records, everything))
+        click.echo(cause_of(records, all_records))
 
 
 async def print_events(client, query, follow):
     """Print new events until there is no more to follow."""
     seen = set()
     while True:
-        _, answer = await client.ask(b"GET", query, NOTHING)
-        for event in answer.get("events", []):
+        _, response = await client.send_request(b"GET", query, NOTHING)
+        for event in response.get("events", []):
             key = (event["host"], event["millis"], event["counter"])
             if key not in seen:
                 seen.add(key)
-                click.echo(event_line(event))
+                click.echo(format_event(event))
         if not follow:
-            return answer
-        await task.deferLater(reactor, FOLLOW_EVERY)
+            return response
+        await task.deferLater(reactor, FOLLOW_INTERVAL_SECONDS)
 
 
-def event_line(event):
+def format_event(event):
     """Return one line for an event."""
     details = " ".join(f"{k}={v}" for k, v in event["details"].items())
     request = f" {event['request']}" if event["request"] else ""
@@ -286,31 +290,33 @@
     ).rstrip()
 
 
-def show_report(status, answer):
+def print_report(status, response):
     """Print a verdict; end with exit code 1 if it is no acceptance."""
-    if "error" in answer:
-        fail_unless(status, answer)
-    if answer["verdict"] == "accepted":
-        click.echo(f"accepted, generation {answer['generation']}")
-        if isinstance(answer["in_force"], list):
-            show_in_force(answer)
+    if "error" in response:
+        raise_unless_ok(status, response)
+    if response["verdict"] == "accepted":
+        click.echo(f"accepted, generation {response['generation']}")
+        if isinstance(response["in_force"], list):
+            print_in_force_hosts(response)
         return
-    where = f"{answer['file']}:{answer['line']}"
-    click.echo(f"{answer['verdict']}: {where}: {answer['reason']}", err=True)
+    location = f"{response['file']}:{response['line']}"
+    click.echo(
+        f"{response['verdict']}: {location}: {response['reason']}", err=True
+    )
     sys.exit(EXIT_REFUSED)
 
 
-def show_in_force(answer):
+def print_in_force_hosts(response):
     """Print where a change is in force."""
-    hosts = ", ".join(answer["in_force"])
-    click.echo(f"in force after {answer['seconds']} s on {hosts}")
-    if answer["not_in_force"]:
-        silent = ", ".join(answer["not_in_force"])
+    hosts = ", ".join(response["in_force"])
+    click.echo(f"in force after {response['seconds']} s on {hosts}")
+    if response["not_in_force"]:
+        silent = ", ".join(response["not_in_force"])
         click.echo(f"not in force yet on {silent}", err=True)
 
 
-def fail_unless(status, answer):
+def raise_unless_ok(status, response):
     """End with an error unless the call went well."""
     if status != 200:
-        message = answer.get("error", {}).get("message", answer)
+        message = response.get("error", {}).get("message", response)
         raise click.ClickException(str(message))
--- a/src/hyssopspring/demo.py
+++ b/src/hyssopspring/demo.py
@@ -12,14 +12,14 @@
 from .logs import start_logging
 from .net.clients import fetch
 
-KEY = "demo-key"
-TIMEOUT = 10.0
-BAD_FILE = """\
+API_KEY = "demo-key"
+REQUEST_TIMEOUT_SECONDS = 10.0
+INVALID_FILE = """\
 workspaces:
   quotes:
     residency: [atlantis]
 """
-GOOD_FILE = """\
+VALID_FILE = """\
 workspaces:
   quotes:
     deadline_ms: 20000
@@ -49,7 +49,7 @@
     """Start the fleet; run the cases or print how to use it."""
     fleet = Fleet(reactor, Shape(log=log))
     await fleet.start()
-    text = configuration_text(fleet.shape.regions, KEY)
+    text = configuration_text(fleet.shape.regions, API_KEY)
     status, report = await fleet.put("10-base.yaml", text)
     if status != 200:
         click.echo(f"the configuration was refused: {report}", err=True)
@@ -57,10 +57,10 @@
     if not once:
         print_usage(fleet)
         return True
-    demo = Demo(fleet)
-    sound = await demo.run_all()
+    demo = DemoCases(fleet)
+    all_passed = await demo.run_all()
     await fleet.stop()
-    return sound
+    return all_passed
 
 
 def print_usage(fleet):
@@ -68,17 +68,17 @@
     gateway = fleet.gateways["dar-0"].settings.listen
     admin = fleet.admin.settings.listen
     body = '{"model":"quick-draft","prompt":"Quote for two lorries"'
-    call = (
+    curl_command = (
         f"curl -s http://{gateway}/v1/completions "
-        f"-H 'Authorization: Bearer {KEY}' "
+        f"-H 'Authorization: Bearer {API_KEY}' "
     )
     click.echo("# a request, whole and streamed")
-    click.echo(f"{call}-d '{body}}}'")
-    click.echo(f"{call}-N -d '{body},\"stream\":true}}'")
+    click.echo(f"{curl_command}-d '{body}}}'")
+    click.echo(f"{curl_command}-N -d '{body},\"stream\":true}}'")
     click.echo("# a plain service, and the entry hosts to use")
     click.echo(
         f"curl -s http://{gateway}/services/rating/quote "
-        f"-H 'Authorization: Bearer {KEY}' -d 'two lorries'"
+        f"-H 'Authorization: Bearer {API_KEY}' -d 'two lorries'"
     )
     click.echo(f"curl -s http://{gateway}/v1/hosts")
     click.echo("# the state of all hosts, for operators")
@@ -89,7 +89,7 @@
     click.echo("# stop with Ctrl-C")
 
 
-class Demo:
+class DemoCases:
     """The cases of ``--once``.
 
     Args:
@@ -98,63 +98,65 @@
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.sound = True
+        self.all_passed = True
 
     async def run_all(self):
         """Run all cases; return whether each went as it should."""
-        await self.whole()
-        await self.streamed()
-        await self.forwarded()
-        await self.change()
-        await self.refused_change()
-        return self.sound
-
-    def show(self, name, good, text):
+        await self.check_buffered_response()
+        await self.check_streamed_response()
+        await self.check_forwarded_request()
+        await self.check_configuration_change()
+        await self.check_refused_change()
+        return self.all_passed
+
+    def print_result(self, name, passed, text):
         """Print the outcome of a case."""
-        self.sound = self.sound and good
-        click.echo(f"{name}: {'right' if good else 'WRONG'}: {text}")
+        self.all_passed = self.all_passed and passed
+        click.echo(f"{name}: {'right' if passed else 'WRONG'}: {text}")
 
-    async def call(self, host, **more):
+    async def call(self, host, **body_fields):
         """Send a completion to *host*; return status and body."""
         address = self.fleet.gateways[host].settings.listen
-        body = {"model": "quick-draft", "prompt": "Two lorries", **more}
-        headers = Headers({b"authorization": [b"Bearer " + KEY.encode()]})
+        body = {"model": "quick-draft", "prompt": "Two lorries", **body_fields}
+        headers = Headers({b"authorization": [b"Bearer " + API_KEY.encode()]})
         return await fetch(
             self.fleet.agent,
             b"POST",
             f"http://{address}/v1/completions",
             msgspec.json.encode(body),
             clock=reactor,
-            timeout=TIMEOUT,
+            timeout=REQUEST_TIMEOUT_SECONDS,
             headers=headers,
         )
 
-    async def whole(self):
+    async def check_buffered_response(self):
         """Serve a request whole, at home."""
         status, body = await self.call("dar-0", max_tokens=4)
-        answer = msgspec.json.decode(body)
-        good = status == 200 and answer["usage"]["completion_tokens"] == 4
-        self.show("whole answer", good, f"status {status}, 4 tokens")
+        response = msgspec.json.decode(body)
+        passed = status == 200 and response["usage"]["completion_tokens"] == 4
+        self.print_result("whole answer", passed, f"status {status}, 4 tokens")
 
-    async def streamed(self):
+    async def check_streamed_response(self):
         """Serve a streamed request."""
         status, body = await self.call("dar-0", max_tokens=4, stream=True)
-        good = status == 200 and body.endswith(b"data: [DONE]\n\n")
+        passed = status == 200 and body.endswith(b"data: [DONE]\n\n")
         events = body.count(b"data: ")
-        self.show("streamed answer", good, f"{events} events, end mark last")
+        self.print_result(
+            "streamed answer", passed, f"{events} events, end mark last"
+        )
 
-    async def forwarded(self):
+    async def check_forwarded_request(self):
         """Serve a request in the other region while home has no room."""
         for name, engine in self.fleet.engines.items():
             engine.faults.refuse = name.startswith("dar")
-        before = self.ran("arusha")
+        before = self.count_requests("arusha")
         status, _ = await self.call("dar-0")
         for engine in self.fleet.engines.values():
             engine.faults.refuse = False
-        good = status == 200 and self.ran("arusha") == before + 1
-        self.show("forwarded request", good, "served in arusha")
+        passed = status == 200 and self.count_requests("arusha") == before + 1
+        self.print_result("forwarded request", passed, "served in arusha")
 
-    def ran(self, region):
+    def count_requests(self, region):
         """Return how many requests a region's engines took."""
         return sum(
             len(engine.ran)
@@ -162,17 +164,17 @@
             if name.startswith(region)
         )
 
-    async def change(self):
+    async def check_configuration_change(self):
         """Change the configuration."""
-        status, report = await self.fleet.put("20-team.yaml", GOOD_FILE)
+        status, report = await self.fleet.put("20-team.yaml", VALID_FILE)
         hosts = ", ".join(report.get("in_force", []))
-        good = status == 200 and not report["not_in_force"]
+        passed = status == 200 and not report["not_in_force"]
         text = f"generation {report['generation']} in force on {hosts}"
-        self.show("configuration change", good, text)
+        self.print_result("configuration change", passed, text)
 
-    async def refused_change(self):
+    async def check_refused_change(self):
         """Have a wrong change refused."""
-        status, report = await self.fleet.put("30-other.yaml", BAD_FILE)
-        good = status == 409 and report["line"] == 3
+        status, report = await self.fleet.put("30-other.yaml", INVALID_FILE)
+        passed = status == 409 and report["line"] == 3
         text = f"line {report['line']}: {report['reason']}"
-        self.show("refused change", good, text)
+        self.print_result("refused change", passed, text)
--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -30,7 +30,7 @@
 from .net.membership import Membership
 from .net.messages import CallSuspects, Signer
 from .net.serving import LimitedSite, Router
-from .observing import log_failure, make_rng, make_timeline
+from .observability import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
 from .stores import etcd  # noqa: F401 - registers itself
 from .stores.following import ConfigFollower, HostFollower
--- a/src/hyssopspring/load.py
+++ b/src/hyssopspring/load.py
@@ -22,10 +22,10 @@
 from .net.clients import make_agent
 from .plots import plot_percentiles
 
-LONGEST_MICROS = 600_000_000
-DIGITS = 3
+MAX_MICROS = 600_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 95.0, 99.0, 99.9, 100.0)
-KINDS = ("first_token", "between_tokens", "whole")
+TIMING_KINDS = ("first_token", "between_tokens", "whole")
 
 
 class MixEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -50,9 +50,9 @@
     headers: dict[str, str] = {}
 
 
-def histogram():
+def make_histogram():
     """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, LONGEST_MICROS, DIGITS)
+    return HdrHistogram(1, MAX_MICROS, SIGNIFICANT_DIGITS)
 
 
 @dataclass
@@ -61,67 +61,74 @@
 
     Attributes:
         outcomes: Count by outcome.
-        times: Histogram by kind of time, in microseconds.
-        tokens: Stream events that arrived.
-        late: Longest delay of a send behind its schedule, in seconds.
+        histograms: Histogram by kind of time, in microseconds.
+        stream_events: Stream events that arrived.
+        max_send_delay: Longest delay of a send behind its schedule, in
+            seconds.
     """
 
     outcomes: Counter = field(default_factory=Counter)
-    times: dict = field(
-        default_factory=lambda: {kind: histogram() for kind in KINDS}
+    histograms: dict = field(
+        default_factory=lambda: {
+            kind: make_histogram() for kind in TIMING_KINDS
+        }
     )
-    tokens: int = 0
-    late: float = 0.0
+    stream_events: int = 0
+    max_send_delay: float = 0.0
 
     def record(self, kind, seconds):
         """Note one time."""
-        micros = max(1, min(LONGEST_MICROS, int(seconds * 1e6)))
-        self.times[kind].record_value(micros)
+        micros = max(1, min(MAX_MICROS, int(seconds * 1e6)))
+        self.histograms[kind].record_value(micros)
 
     def rows(self):
         """Return a row of percentiles in milliseconds for each kind."""
         return [
-            [kind, times.get_total_count()]
+            [kind, histogram.get_total_count()]
             + [
-                round(times.get_value_at_percentile(point) / 1000, 2)
+                round(histogram.get_value_at_percentile(point) / 1000, 2)
                 for point in PERCENTILES
             ]
-            for kind, times in self.times.items()
-            if times.get_total_count()
+            for kind, histogram in self.histograms.items()
+            if histogram.get_total_count()
         ]
 
 
-class AnswerReader(protocol.Protocol):
+class ResponseTimer(protocol.Protocol):
     """Time the parts of one answer."""
 
-    def __init__(self, run, due, stream):
+    def __init__(self, run, due_at, stream):
         self.run = run
-        self.due = due
+        self.due_at = due_at
         self.stream = stream
-        self.last = NOTHING
-        self.ended = False
+        self.last_data_at = NOTHING
+        self.done_event_seen = False
         self.done = defer.Deferred()
 
     def dataReceived(self, data):
         """Note when a part came."""
         now = self.run.clock.seconds()
         results = self.run.results
-        if self.last is NOTHING:
-            results.record("first_token", now - self.due)
+        if self.last_data_at is NOTHING:
+            results.record("first_token", now - self.due_at)
         elif self.stream:
-            results.record("between_tokens", now - self.last)
-        self.last = now
+            results.record("between_tokens", now - self.last_data_at)
+        self.last_data_at = now
         if self.stream:
-            results.tokens += data.count(b"data: {")
-            self.ended = self.ended or b"data: [DONE]" in data
+            results.stream_events += data.count(b"data: {")
+            self.done_event_seen = (
+                self.done_event_seen or b"data: [DONE]" in data
+            )
 
     def connectionLost(self, reason):
         """Tell how the answer ended."""
-        whole = reason.check(ResponseDone) is not None
-        self.done.callback(whole and (self.ended or not self.stream))
+        complete = reason.check(ResponseDone) is not None
+        self.done.callback(
+            complete and (self.done_event_seen or not self.stream)
+        )
 
 
-class Run:
+class LoadRun:
     """Send requests on a schedule, whatever became of earlier ones.
 
     Times count from the moment at which a request was due. A generator
@@ -141,60 +148,64 @@
         self.urls = urls
         self.rate = rate
         self.count = int(rate * duration)
-        self.mix = spread(mix)
+        self.mix = expand_by_weight(mix)
         self.agent = make_agent(clock)
         self.agent.pool.maxPersistentPerHost = 1000
         self.results = Results()
         self.sent = 0
-        self.began = NOTHING
-        self.open = set()
+        self.started_at = NOTHING
+        self.pending = set()
 
     async def run(self):
         """Send all requests; return the `Results`."""
-        self.began = self.clock.seconds()
+        self.started_at = self.clock.seconds()
         while self.sent < self.count:
-            due = self.began + self.sent / self.rate
+            due_at = self.started_at + self.sent / self.rate
             now = self.clock.seconds()
-            if due > now:
-                await task.deferLater(self.clock, due - now)
+            if due_at > now:
+                await task.deferLater(self.clock, due_at - now)
                 continue
-            self.results.late = max(self.results.late, now - due)
-            self.send(due)
-        while self.open:
-            await defer.DeferredList(list(self.open))
+            self.results.max_send_delay = max(
+                self.results.max_send_delay, now - due_at
+            )
+            self.send(due_at)
+        while self.pending:
+            await defer.DeferredList(list(self.pending))
         await self.agent.pool.closeCachedConnections()
         return self.results
 
-    def send(self, due):
+    def send(self, due_at):
         """Send the next request."""
-        entry = self.mix[self.sent % len(self.mix)]
+        mix_entry = self.mix[self.sent % len(self.mix)]
         url = self.urls[self.sent % len(self.urls)]
         self.sent += 1
-        work = defer.ensureDeferred(self.ask(entry, url, due))
-        self.open.add(work)
-        work.addBoth(lambda _: self.open.discard(work))
+        work = defer.ensureDeferred(
+            self.send_and_record(mix_entry, url, due_at)
+        )
+        self.pending.add(work)
+        work.addBoth(lambda _: self.pending.discard(work))
 
-    async def ask(self, entry, url, due):
+    async def send_and_record(self, mix_entry, url, due_at):
         """Send one request and note its outcome."""
         results = self.results
         try:
-            outcome = await self.outcome(entry, url, due)
+            outcome = await self.request_outcome(mix_entry, url, due_at)
         except (error.ConnectError, ResponseFailed) as failure:
             outcome = type(failure).__name__
         results.outcomes[outcome] += 1
         if outcome == "answered":
-            results.record("whole", self.clock.seconds() - due)
+            results.record("whole", self.clock.seconds() - due_at)
 
-    async def outcome(self, entry, url, due):
+    async def request_outcome(self, mix_entry, url, due_at):
         """Return the name of one request's outcome."""
         body = {
-            "model": entry.model,
-            "prompt": entry.prompt,
-            "max_tokens": entry.max_tokens,
-            "stream": entry.stream,
+            "model": mix_entry.model,
+            "prompt": mix_entry.prompt,
+            "max_tokens": mix_entry.max_tokens,
+            "stream": mix_entry.stream,
         }
-        headers = Headers({"authorization": [f"Bearer {entry.key}"]})
-        for name, value in entry.headers.items():
+        headers = Headers({"authorization": [f"Bearer {mix_entry.key}"]})
+        for name, value in mix_entry.headers.items():
             headers.setRawHeaders(name, [value])
         response = await self.agent.request(
             b"POST",
@@ -202,13 +213,15 @@
             headers,
             json_body(body),
         )
-        reader = AnswerReader(self, due, entry.stream)
+        reader = ResponseTimer(self, due_at, mix_entry.stream)
         response.deliverBody(reader)
-        whole = await reader.done
+        complete = await reader.done
         if response.code != 200:
-            stated = response.headers.getRawHeaders("hyssop-reason", [""])
-            return stated[0] or f"status_{response.code}"
-        return "answered" if whole else "cut"
+            reason_header = response.headers.getRawHeaders(
+                "hyssop-reason", [""]
+            )
+            return reason_header[0] or f"status_{response.code}"
+        return "answered" if complete else "cut"
 
 
 def json_body(value):
@@ -216,12 +229,14 @@
     return FileBodyProducer(BytesIO(msgspec.json.encode(value)))
 
 
-def spread(mix):
+def expand_by_weight(mix):
     """Return a sequence in which each entry stands by its weight."""
-    least = min(entry.weight for entry in mix)
+    min_weight = min(mix_entry.weight for mix_entry in mix)
     sequence = []
-    for entry in mix:
-        sequence.extend([entry] * max(1, round(entry.weight / least)))
+    for mix_entry in mix:
+        sequence.extend(
+            [mix_entry] * max(1, round(mix_entry.weight / min_weight))
+        )
     return sequence
 
 
@@ -244,8 +259,10 @@
     click.echo(f"{total} requests in {seconds:.1f} s")
     for outcome, count in results.outcomes.most_common():
         click.echo(f"  {outcome}: {count}")
-    click.echo(f"  tokens a second: {results.tokens / seconds:.0f}")
-    click.echo(f"  latest send behind schedule: {results.late:.3f} s")
+    click.echo(f"  tokens a second: {results.stream_events / seconds:.0f}")
+    click.echo(
+        f"  latest send behind schedule: {results.max_send_delay:.3f} s"
+    )
     names = "  ".join(f"p{point:g}" for point in PERCENTILES)
     click.echo(f"milliseconds: count  {names}")
     for kind, *numbers in results.rows():
@@ -274,21 +291,21 @@
     """Send an open-loop load and print its percentiles."""
     from twisted.internet import reactor
 
-    run = Run(reactor, urls, rate, duration, read_mix(mix_path))
-    kept = []
+    run = LoadRun(reactor, urls, rate, duration, read_mix(mix_path))
+    completed = []
 
     def started(_):
         work = defer.ensureDeferred(run.run())
-        return work.addCallback(kept.append)
+        return work.addCallback(completed.append)
 
     try:
         task.react(started)
     except SystemExit as stopped:
-        if not kept:
+        if not completed:
             sys.exit(stopped.code or 1)
-    results = kept[0]
-    print_results(results, run.clock.seconds() - run.began)
+    results = completed[0]
+    print_results(results, run.clock.seconds() - run.started_at)
     if csv_path:
         write_csv(results, csv_path)
     if plot_path:
-        plot_percentiles(results.times, plot_path)
+        plot_percentiles(results.histograms, plot_path)
--- a/src/hyssopspring/logs.py
+++ b/src/hyssopspring/logs.py
@@ -4,7 +4,7 @@
 
 import logbook
 
-QUIET = range(200, 208)
+REQUEST_EVENT_NUMBERS = range(200, 208)
 
 
 def start_logging(level):
@@ -32,18 +32,22 @@
     """
 
     def __init__(self, host, level):
-        self.log = logbook.Logger(host)
-        self.least = logbook.lookup_level(level)
+        self.logger = logbook.Logger(host)
+        self.minimum_level = logbook.lookup_level(level)
 
     def __call__(self, event):
         """Write one event."""
-        level = logbook.DEBUG if event.number in QUIET else logbook.INFO
-        if level < self.least:
+        level = (
+            logbook.DEBUG
+            if event.number in REQUEST_EVENT_NUMBERS
+            else logbook.INFO
+        )
+        if level < self.minimum_level:
             return
         details = " ".join(
             f"{key}={value}" for key, value in event.details.items()
         )
         request = f"request={event.request} " if event.request else ""
-        self.log.log(
+        self.logger.log(
             level, "E{} {} {}{}", event.number, event.name, request, details
         )
--- a/src/hyssopspring/metrics.py
+++ b/src/hyssopspring/metrics.py
@@ -15,12 +15,12 @@
         host: Name of this host.
     """
     if not address:
-        return NoMetrics()
+        return NullMetrics()
     ip, port = split_address(address)
     return statsd.StatsClient(ip, port, prefix=f"{PREFIX}.{host}")
 
 
-class NoMetrics:
+class NullMetrics:
     """Drop all metrics."""
 
     def incr(self, name, count=1):
--- a/src/hyssopspring/observing.py
+++ b/src/hyssopspring/observability.py
@@ -8,19 +8,21 @@
 from .metrics import EventCounter, make_metrics
 
 
-def make_timeline(settings, wall):
+def make_timeline(settings, wall_clock):
     """Return a `Timeline` whose events are logged and counted.
 
     Args:
         settings: Any `ProcessSettings`.
-        wall: Callable that returns the wall clock in seconds.
+        wall_clock: Callable that returns the wall clock in seconds.
     """
     metrics = make_metrics(settings.statsd, settings.host)
     listeners = [
         EventLogger(settings.host, settings.log),
         EventCounter(metrics),
     ]
-    return Timeline(settings.host, HybridClock(wall), listeners=listeners)
+    return Timeline(
+        settings.host, HybridClock(wall_clock), listeners=listeners
+    )
 
 
 def make_rng(seed):
@@ -36,4 +38,4 @@
 
 def log_failure(host, reason):
     """Write the trace of a failure that nobody expected."""
-    EventLogger(host, "DEBUG").log.error("{}", reason.getTraceback())
+    EventLogger(host, "DEBUG").logger.error("{}", reason.getTraceback())
--- a/src/hyssopspring/plots.py
+++ b/src/hyssopspring/plots.py
@@ -47,17 +47,17 @@
     pyplot.close(figure)
 
 
-def plot_percentiles(times, path):
+def plot_percentiles(histograms, path):
     """Draw the time at each percentile, a line for each kind.
 
     Args:
-        times: Histogram of microseconds by kind.
+        histograms: Histogram of microseconds by kind.
         path: PNG file to write.
     """
     pyplot = load_pyplot()
     figure, axes = pyplot.subplots(figsize=(7, 4))
     points = [point / 2 for point in range(2, 200)] + [99.9]
-    for kind, histogram in times.items():
+    for kind, histogram in histograms.items():
         if histogram.get_total_count():
             values = [
                 histogram.get_value_at_percentile(point) / 1000
--- a/src/hyssopspring/records.py
+++ b/src/hyssopspring/records.py
@@ -5,21 +5,21 @@
 from .core.exceptions import ProtocolError
 from .core.shares import WHOLE
 
-__all__ = ["Record", "cause_of", "read_records", "record_line"]
+__all__ = ["LogRecord", "cause_of", "format_record", "read_records"]
 
-HIDDEN = ("ms", "n", "host", "event", "number", "request")
+STANDARD_FIELDS = ("ms", "n", "host", "event", "number", "request")
 
 
-BEFORE_MILLIS = 2500
+PRECEDING_WINDOW_MILLIS = 2500
 """Milliseconds before a placement in which others count as before it: the
 reading of the longest prompts takes two seconds."""
 
-LONG_GAP = 300
+MIN_STALL_MILLIS = 300
 """Milliseconds without an event from which a stream seems to stand still:
 the shortest bound on any of the users' sheets."""
 
 
-class Record(msgspec.Struct, frozen=True):
+class LogRecord(msgspec.Struct, frozen=True):
     """One log line.
 
     Attributes:
@@ -57,7 +57,9 @@
             records.append(read_record(line[start:]))
         except ProtocolError:
             continue
-    records.sort(key=lambda one: (one.millis, one.counter, one.host))
+    records.sort(
+        key=lambda record: (record.millis, record.counter, record.host)
+    )
     return records
 
 
@@ -69,19 +71,23 @@
     """
     try:
         values = msgspec.json.decode(text)
-        return Record(
+        return LogRecord(
             int(values["ms"]),
             int(values["n"]),
             values["host"],
             values["event"],
             values.get("request", ""),
-            {name: values[name] for name in values if name not in HIDDEN},
+            {
+                name: values[name]
+                for name in values
+                if name not in STANDARD_FIELDS
+            },
         )
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as problem:
         raise ProtocolError(f"log line: {problem}") from None
 
 
-def record_line(record):
+def format_record(record):
     """Return one line for a person."""
     details = " ".join(f"{k}={v}" for k, v in record.details.items() if v)
     return (
@@ -90,64 +96,71 @@
     )
 
 
-def cause_of(records, others=()):
+def cause_of(records, all_records=()):
     """Return why a request ended as it did, from records alone.
 
     Args:
-        records: Its `Record` list, in order.
-        others: `Record` list of all requests, to tell what stood before
-            it at its server; may be left out.
+        records: Its `LogRecord` list, in order.
+        all_records: `LogRecord` list of all requests, from which the requests
+            placed just before it at its server are found; may be left out.
 
     Returns:
         One line of text.
     """
-    refused = [one for one in records if one.event == "not_run"]
-    ended = [one for one in records if one.event == "attempt_ended"]
-    away = [one for one in records if one.event == "sent_away"]
-    final = [one for one in records if one.event in ("answered", "unknown")]
+    refused = [record for record in records if record.event == "not_run"]
+    ended_attempts = [
+        record for record in records if record.event == "attempt_ended"
+    ]
+    sent_away = [record for record in records if record.event == "sent_away"]
+    final = [
+        record for record in records if record.event in ("answered", "unknown")
+    ]
     if not final and not refused:
         return "it has not ended, or its end was left out"
     last = (final or refused)[-1]
     parts = [f"{last.details.get('how', 'refused')} by {last.host}"]
-    for one in ended:
+    for record in ended_attempts:
         parts.append(
-            f"attempt at {one.details['at']} ended: {one.details['reason']}"
+            f"attempt at {record.details['at']} ended: "
+            f"{record.details['reason']}"
         )
-    for one in away:
+    for record in sent_away:
         parts.append(
-            f"sent to {one.details['region']}, predicted "
-            f"{one.details['predicted']} s"
+            f"sent to {record.details['region']}, predicted "
+            f"{record.details['predicted']} s"
         )
-    for one in refused:
-        parts.append(refusal_text(one))
-    parts += lateness(last.details)
-    placed = [one for one in records if one.event == "placed"]
+    for record in refused:
+        parts.append(describe_refusal(record))
+    parts += describe_lateness(last.details)
+    placed = [record for record in records if record.event == "placed"]
     if placed and len(parts) > 1:
-        parts += stood_before(placed[-1], others)
-    return "; ".join(parts + versions(records))
+        parts += describe_preceding(placed[-1], all_records)
+    return "; ".join(parts + describe_versions(records))
 
 
-def versions(records):
+def describe_versions(records):
     """Return a text for each host on the configuration that it held.
 
     Hosts that held different ones explain a request that was handled as
     only an older one allows.
 
     Args:
-        records: `Record` list of a request.
+        records: `LogRecord` list of a request.
     """
-    held = {
-        one.host: one.details for one in records if "version_by" in one.details
+    version_details = {
+        record.host: record.details
+        for record in records
+        if "version_by" in record.details
     }
     return [
-        f"{host} held version {one['version']} by {one['version_by']} of "
-        f"{one['version_from']} for {one['version_for']} s, confirmed "
-        f"{one['view_age']} s before"
-        for host, one in held.items()
+        f"{host} held version {details['version']} by "
+        f"{details['version_by']} of {details['version_from']} for "
+        f"{details['version_for']} s, confirmed {details['view_age']} s before"
+        for host, details in version_details.items()
     ]
 
 
-def lateness(details):
+def describe_lateness(details):
     """Return texts that say how an answer missed what users want.
 
     Args:
@@ -164,39 +177,42 @@
         predicted = float(details["predicted"]) * 1000
         if predicted <= objective:
             texts.append(f"wrongly predicted, {predicted:.0f} ms")
-    if int(details["longest_gap_ms"]) > LONG_GAP:
+    if int(details["longest_gap_ms"]) > MIN_STALL_MILLIS:
         texts.append(f"stood still for {details['longest_gap_ms']} ms")
     return texts
 
 
-def stood_before(placed, others):
-    """Return a text on the requests sent to a server just before one.
+def describe_preceding(placed, all_records):
+    """Return a text on the requests sent to a server just before record.
 
     Args:
-        placed: The `Record` of its placement.
-        others: `Record` list of all requests.
+        placed: The `LogRecord` of its placement.
+        all_records: `LogRecord` list of all requests.
     """
     server = placed.details["server"]
-    before = [
-        one
-        for one in others
-        if one.event == "placed"
-        and one.details["server"] == server
-        and 0 <= placed.millis - one.millis <= BEFORE_MILLIS
-        and one.request != placed.request
+    preceding = [
+        record
+        for record in all_records
+        if record.event == "placed"
+        and record.details["server"] == server
+        and 0 <= placed.millis - record.millis <= PRECEDING_WINDOW_MILLIS
+        and record.request != placed.request
     ]
-    if not before:
+    if not preceding:
         return []
-    longest = max(before, key=lambda one: float(one.details["predicted"]))
+    longest = max(
+        preceding, key=lambda record: float(record.details["predicted"])
+    )
     return [
-        f"{len(before)} others were sent to {server} within "
-        f"{BEFORE_MILLIS} ms before, {longest.request} the slowest of them "
+        f"{len(preceding)} others were sent to {server} within "
+        f"{PRECEDING_WINDOW_MILLIS} ms before, {longest.request} the slowest "
+        f"of them "
         f"(predicted {longest.details['predicted']} s, urgency "
         f"{longest.details['urgency']})"
     ]
 
 
-def limit_text(details):
+def describe_limit(details):
     """Return which limit was reached, and how it stood.
 
     Args:
@@ -211,7 +227,7 @@
     )
 
 
-def refusal_text(record):
+def describe_refusal(record):
     """Return why and until when a request was refused."""
     text = f"refused: {record.details.get('reason', '')}"
     if "predicted" in record.details:
@@ -219,7 +235,7 @@
     if "version" in record.details:
         text += f", at version {record.details['version']}"
     if "counted_by" in record.details:
-        text += limit_text(record.details)
+        text += describe_limit(record.details)
     if record.details.get("evidence"):
         text += f", servers ended under it: {record.details['evidence']}"
     if record.details.get("closed_by"):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -55,7 +55,7 @@
 
 def connected(processes):
     """Whether each gateway has heard of all data centres and servers."""
-    _, answer = processes.operate("GET", "/v1/status")
+    _, answer = processes.call_admin("GET", "/v1/status")
     return len(answer["hosts"]) == 4 and all(
         len(host["centres"]) == 2 and len(host["servers"]) == 2
         for host in answer["hosts"]
@@ -268,12 +268,12 @@
     processes.signal("mwanza-gateway-0", signal.SIGSTOP)
     processes.fetch("DELETE", entry)
     text = "workspaces: {brokers: {residency: [dar, arusha]}}\n"
-    status, report = processes.operate("PUT", "/v1/files/20-cut.yaml", text)
+    status, report = processes.call_admin("PUT", "/v1/files/20-cut.yaml", text)
     assert_that(status, Equals(409))
     assert_that(report["reason"], Contains("data centre mwanza-a"))
-    status, _ = processes.operate("DELETE", "/v1/data-centres/mwanza-a")
+    status, _ = processes.call_admin("DELETE", "/v1/data-centres/mwanza-a")
     assert_that(status, Equals(200))
-    status, report = processes.operate(
+    status, report = processes.call_admin(
         "PUT", "/v1/files/20-cut.yaml", text + "# again\n"
     )
     assert_that(status, Equals(200))
@@ -283,7 +283,7 @@
     served_abroad = len(ran(processes, "mwanza")) - before
     assert_that(served_abroad, Equals(0))
     processes.fetch("PUT", entry, str_json(row))
-    status, _ = processes.operate("DELETE", "/v1/files/20-cut.yaml")
+    status, _ = processes.call_admin("DELETE", "/v1/files/20-cut.yaml")
     assert_that(status, Equals(200))
     wait_until(lambda: complete(processes, "mwanza-gateway-0")[0] == 200)
 
@@ -306,11 +306,13 @@
         for _ in range(5):
             status, _ = complete(processes, gateway)
             assert_that(status, Equals(200))
-    status, answer = processes.operate("PUT", "/v1/files/40-x.yaml", "")
+    status, answer = processes.call_admin("PUT", "/v1/files/40-x.yaml", "")
     assert_that(status, Equals(503))
     processes.signal("platform", signal.SIGCONT)
     wait_until(
-        lambda: processes.operate("PUT", "/v1/files/40-x.yaml", "")[0] == 200
+        lambda: (
+            processes.call_admin("PUT", "/v1/files/40-x.yaml", "")[0] == 200
+        )
     )
 
 
