--- a/examples/processes.py
+++ b/examples/processes.py
@@ -1,6 +1,6 @@
-"""Start the processes of an example on loopback and stop them again.
+"""Run the processes of an example topology on the loopback interface.
 
-Run it as ``python examples/processes.py examples/kilimanjaro.yaml``.
+Usage: ``python examples/processes.py examples/kilimanjaro.yaml``.
 """
 
 import contextlib
@@ -22,11 +22,14 @@
 PEER_SECRET = "secret of the example fleet"
 OPERATOR_TOKEN = "operator-token"
 START_TIMEOUT_SECONDS = 30.0
+"""Time in which a process has to respond after its start."""
+
 STOP_TIMEOUT_SECONDS = 20.0
+"""Time in which all processes have to exit before they are killed."""
 
 
 def free_address():
-    """Return a loopback address with a port that is free now."""
+    """Return a loopback address with a port that is currently unused."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
         return f"{LOOPBACK}:{probe.getsockname()[1]}"
@@ -36,8 +39,14 @@
     """The processes of one topology.
 
     Args:
-        topology: The mapping of an example file.
-        directory: Where settings and logs are written.
+        topology: Decoded mapping of an example file.
+        directory: Directory for settings files and logs.
+
+    Attributes:
+        platform: Address of the fake platform.
+        admin: Address of the admin server.
+        rows: Rows of the host list.
+        running: Started processes, by name.
     """
 
     def __init__(self, topology, directory):
@@ -52,7 +61,7 @@
             self.add_region_rows(region, region_shape)
 
     def add_region_rows(self, region, region_shape):
-        """Note the host-list rows of one region."""
+        """Add the host-list rows of one region."""
         for kind, count, prefix in (
             ("entry", region_shape["gateways"], "gateway"),
             ("engine", region_shape["engines"], "engine"),
@@ -81,7 +90,14 @@
         return row
 
     def start(self):
-        """Start all processes, and write the first configuration."""
+        """Start all processes and upload the initial configuration.
+
+        Returns after all gateways are ready.
+
+        Raises:
+            SystemExit: The configuration was refused.
+            TimeoutError: A process did not respond in time.
+        """
         hosts = self.write("hosts.yaml", {"hosts": self.rows})
         self.run(
             "platform",
@@ -99,7 +115,7 @@
         text = yaml.safe_dump(self.configuration())
         status, report = self.call_admin("PUT", "/v1/files/10-base.yaml", text)
         if status != 200:
-            raise SystemExit(f"the configuration was refused: {report}")
+            raise SystemExit(f"initial configuration was refused: {report}")
         for row in self.gateways():
             self.wait_for(row["address"], "/readyz")
 
@@ -114,11 +130,11 @@
         self.run(name, program, "--listen", address, "--name", name)
 
     def gateways(self):
-        """Return the rows of the entry hosts."""
+        """Return the host-list rows of the gateways."""
         return [row for row in self.rows if row["kind"] == "entry"]
 
     def common_settings(self, name, region):
-        """Return the settings that all processes have."""
+        """Return the settings that all processes share."""
         return {
             "host": name,
             "region": region,
@@ -149,7 +165,11 @@
         }
 
     def admin_settings(self):
-        """Write the settings of the administration; return their path."""
+        """Write the settings of the admin server and of its command line.
+
+        Returns:
+            Path of the settings of the admin server.
+        """
         region = next(iter(self.topology["regions"]))
         settings = self.common_settings("admin-0", region) | {
             "listen": self.admin,
@@ -162,7 +182,7 @@
         return self.write("admin.yaml", settings)
 
     def configuration(self):
-        """Return the first configuration file."""
+        """Return the content of the initial configuration file."""
         regions = list(self.topology["regions"])
         round_trip_ms = self.topology["round_trip_ms"]
         workspaces = {}
@@ -188,13 +208,13 @@
         }
 
     def write(self, name, value):
-        """Write a YAML file and return its path."""
+        """Write *value* to a YAML file and return its path."""
         path = self.directory / name
         path.write_text(yaml.safe_dump(value, sort_keys=False))
         return str(path)
 
     def run(self, name, program, *arguments):
-        """Start one process; its output goes to a log file."""
+        """Start one process, with its output redirected to a log file."""
         log = open(self.directory / f"{name}.log", "ab")  # noqa: SIM115
         path = pathlib.Path(sys.executable).parent / program
         self.running[name] = subprocess.Popen(
@@ -203,7 +223,11 @@
         log.close()
 
     def wait_for(self, address, path):
-        """Wait until *path* answers with status 200."""
+        """Wait until a request for *path* returns status 200.
+
+        Raises:
+            TimeoutError: It does not within `START_TIMEOUT_SECONDS`.
+        """
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
@@ -211,10 +235,10 @@
                 if status == 200:
                     return
             time.sleep(0.05)
-        raise TimeoutError(f"no answer from {address}{path}")
+        raise TimeoutError(f"no response with status 200 from {address}{path}")
 
     def call_admin(self, method, path, text=None):
-        """Ask the administration; return status and decoded answer."""
+        """Call the admin server; return status and decoded JSON body."""
         return self.fetch(
             method,
             f"http://{self.admin}{path}",
@@ -223,7 +247,7 @@
         )
 
     def fetch(self, method, url, body=None, headers=None, timeout=20):
-        """Send one request; return status and decoded JSON answer."""
+        """Send one request; return status and decoded JSON body."""
         request = urllib.request.Request(
             url, body, headers or {}, method=method
         )
@@ -234,11 +258,11 @@
             return error.code, json.loads(error.read() or b"null")
 
     def signal(self, name, number):
-        """Send a signal to one process."""
+        """Send the signal *number* to one process."""
         os.kill(self.running[name].pid, number)
 
     def stop(self):
-        """Stop all processes; kill what does not stop in time."""
+        """Stop all processes; kill those that do not exit in time."""
         for process in self.running.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
@@ -264,7 +288,7 @@
         for row in processes.gateways():
             print(f"{row['name']}: http://{row['address']}")
         print(f"hyssopctl --settings {processes.directory}/hyssopctl.yaml")
-        print("stop with Ctrl-C", flush=True)
+        print("press Ctrl-C to stop", flush=True)
         signal.pause()
     except KeyboardInterrupt:
         pass
--- a/src/hyssopspring/__init__.py
+++ b/src/hyssopspring/__init__.py
@@ -1,4 +1,4 @@
-"""A multi-region inference gateway for many teams."""
+"""A multi-region inference gateway shared by many teams."""
 
 import importlib
 
@@ -38,13 +38,17 @@
 
 
 def __getattr__(name):
-    """Import a public name when it is first used.
+    """Import a public name on first use.
 
-    A host that was killed serves again only when its program is loaded,
-    and no process needs all of these modules.
+    A host that restarts after a kill serves requests only after its modules
+    are loaded, and no process needs all of the modules of this package.
+    Eager imports would lengthen the restart.
+
+    Raises:
+        AttributeError: The package has no such public name.
     """
     if name not in _MODULES_BY_NAME:
-        raise AttributeError(f"module {__name__!r} has no {name!r}")
+        raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module = importlib.import_module(
         f".core.{_MODULES_BY_NAME[name]}", __name__
     )
--- a/src/hyssopspring/ctl.py
+++ b/src/hyssopspring/ctl.py
@@ -1,4 +1,4 @@
-"""The operators' command line, ``hyssopctl``."""
+"""Command-line client of the admin server, ``hyssopctl``."""
 
 import contextlib
 import pathlib
@@ -22,16 +22,19 @@
 EXIT_REFUSED = 1
 EXIT_UNREACHABLE = 3
 ADMIN_TIMEOUT_SECONDS = 20.0
+"""Time limit of one call to the admin server."""
+
 FOLLOW_INTERVAL_SECONDS = 1.0
+"""Pause between two reads of the event log with ``--follow``."""
 
 
 class CtlSettings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Settings of ``hyssopctl``.
 
     Attributes:
-        admin: Address of an administration, such as
+        admin: Base URL of an admin server, such as
             ``http://127.0.0.1:8090``.
-        token: Bearer token of the team.
+        token: Bearer token of the operators' team.
     """
 
     admin: str
@@ -39,27 +42,39 @@
 
 
 class AdminUnreachableError(click.ClickException):
-    """The administration did not answer."""
+    """The admin server did not answer, or its response is invalid."""
 
     exit_code = EXIT_UNREACHABLE
 
 
 class AdminClient:
-    """Ask the administration, one call after the other.
+    """Send calls to the admin server, one at a time.
 
     Args:
-        settings: `CtlSettings`.
+        settings: The `CtlSettings` with address and token.
     """
 
     def __init__(self, settings):
         self.settings = settings
 
     def call(self, method, path, body=NOTHING):
-        """Return status and decoded answer of one call."""
+        """Send one call and wait for its response.
+
+        Args:
+            method: HTTP method, as bytes.
+            path: Path and query, below the address of the admin server.
+            body: Request body, or `NOTHING`.
+
+        Returns:
+            Status and decoded JSON body of the response.
+
+        Raises:
+            AdminUnreachableError: The call failed.
+        """
         return run_on_reactor(lambda: self.send_request(method, path, body))
 
     async def send_request(self, method, path, body):
-        """Send one call."""
+        """Send one call; return status and decoded JSON body."""
         headers = Headers(
             {
                 b"authorization": [b"Bearer " + self.settings.token.encode()],
@@ -81,8 +96,11 @@
 def run_on_reactor(function):
     """Run a coroutine function on the reactor and return its result.
 
+    Exits with status 130 if the reactor stops before there is a result, as
+    it does on an interrupt.
+
     Raises:
-        AdminUnreachableError: It failed.
+        AdminUnreachableError: The coroutine raised an exception.
     """
     results = []
 
@@ -96,16 +114,22 @@
         sys.exit(130)
     if isinstance(results[0], Failure):
         raise AdminUnreachableError(
-            f"no answer: {results[0].getErrorMessage()}"
+            f"call to the admin server failed: {results[0].getErrorMessage()}"
         )
     return results[0]
 
 
 def load_client(path):
-    """Return an `AdminClient` for the settings at *path*."""
+    """Return an `AdminClient` for the settings at *path*.
+
+    Exits with `EXIT_BAD_SETTINGS` if the settings are invalid.
+
+    Raises:
+        click.UsageError: No path is given.
+    """
     if not path:
         raise click.UsageError(
-            "name the settings with --settings or HYSSOPCTL_SETTINGS"
+            "no settings file: pass --settings or set HYSSOPCTL_SETTINGS"
         )
     try:
         return AdminClient(load_settings(path, CtlSettings))
@@ -120,12 +144,12 @@
     "path",
     envvar="HYSSOPCTL_SETTINGS",
     metavar="FILE",
-    help="YAML file with the administration's address and the token.",
+    help="YAML file with the address of the admin server and the token.",
 )
 @click.version_option(package_name="hyssopspring")
 @click.pass_context
 def main(context, path):
-    """Operate hyssopspring."""
+    """Manage a hyssopspring deployment."""
     context.obj = path
 
 
@@ -138,7 +162,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.pass_obj
 def put_file(path, file):
-    """Write FILE and wait until it is in force or refused."""
+    """Upload FILE and wait until it is in force or refused."""
     source = pathlib.Path(file)
     status, response = load_client(path).call(
         b"PUT", f"/v1/files/{source.name}", source.read_bytes()
@@ -158,7 +182,7 @@
 @config.command("ls")
 @click.pass_obj
 def list_files(path):
-    """List all files with their verdicts."""
+    """List all configuration files with their verdicts."""
     status, response = load_client(path).call(b"GET", "/v1/files")
     raise_unless_ok(status, response)
     click.echo(f"generation {response['generation']}")
@@ -172,10 +196,12 @@
 
 @config.command("check")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--online", is_flag=True, help="Check against all other files.")
+@click.option(
+    "--online", is_flag=True, help="Validate together with all other files."
+)
 @click.pass_obj
 def check_file(path, file, online):
-    """Check FILE by itself, or against all others with --online."""
+    """Validate FILE alone, or with all other files with --online."""
     source = pathlib.Path(file)
     try:
         parse_file(source.read_text(encoding="utf-8"))
@@ -183,7 +209,7 @@
         click.echo(f"{file}:{problem.line}: {problem.text}", err=True)
         sys.exit(EXIT_REFUSED)
     if not online:
-        click.echo(f"{file}: in order by itself")
+        click.echo(f"{file}: file is valid on its own")
         return
     status, response = load_client(path).call(
         b"POST", f"/v1/check/{source.name}", source.read_bytes()
@@ -196,7 +222,7 @@
 @click.argument("model", required=False)
 @click.pass_obj
 def explain(path, workspace, model):
-    """Show which file set each field of WORKSPACE and MODEL, and why."""
+    """Show which file sets each field of WORKSPACE and MODEL, and why."""
     query = f"/v1/explain?workspace={workspace}"
     if model:
         query += f"&model={model}"
@@ -208,7 +234,7 @@
         for setting in row["files"]:
             file_value = msgspec.json.encode(setting["value"]).decode()
             click.echo(
-                f"    {setting['file']}:{setting['line']} says {file_value}"
+                f"    {setting['file']}:{setting['line']} sets {file_value}"
             )
 
 
@@ -216,12 +242,12 @@
 @click.argument("name")
 @click.pass_obj
 def forget_data_centre(path, name):
-    """Take off the data centre NAME, whose hosts are gone for good."""
+    """Forget the data centre NAME after its hosts are decommissioned."""
     status, response = load_client(path).call(
         b"DELETE", f"/v1/data-centres/{name}"
     )
     raise_unless_ok(status, response)
-    click.echo(f"forgotten: {name}")
+    click.echo(f"data centre forgotten: {name}")
 
 
 @main.command("status")
@@ -234,27 +260,37 @@
 
 
 @main.command("timeline")
-@click.option("--request", default="", help="Only events of this request.")
-@click.option("--follow", is_flag=True, help="Go on until interrupted.")
-@click.option("--plot", type=click.Path(), help="Draw into this PNG file.")
+@click.option(
+    "--request", default="", help="Show only the events of this request ID."
+)
+@click.option(
+    "--follow", is_flag=True, help="Print new events until interrupted."
+)
+@click.option(
+    "--plot", type=click.Path(), help="Plot the events to this PNG file."
+)
 @click.pass_obj
 def show_timeline(path, request, follow, plot):
-    """Show the events of all processes in one order."""
+    """Show the merged event log of all processes."""
     client = load_client(path)
     query = f"/v1/timeline?request={request}" if request else "/v1/timeline"
     response = run_on_reactor(lambda: print_events(client, query, follow))
     for host in response["silent"]:
-        click.echo(f"no answer from {host}", err=True)
+        click.echo(f"no events received from {host}", err=True)
     if plot:
         plot_timeline(response["events"], plot)
 
 
 @main.command("lines")
 @click.argument("files", nargs=-1, type=click.File("r"))
-@click.option("--request", default="", help="Only lines of this request.")
-@click.option("--cause", is_flag=True, help="Say why the request ended so.")
+@click.option(
+    "--request", default="", help="Show only the lines of this request ID."
+)
+@click.option(
+    "--cause", is_flag=True, help="Explain the outcome of the request."
+)
 def show_lines(files, request, cause):
-    """Put log lines of several processes into one order."""
+    """Merge log lines of several processes in order of time."""
     lines = [line for file in files for line in file]
     all_records = records = read_records(lines)
     if request:
@@ -266,7 +302,13 @@
 
 
 async def print_events(client, query, follow):
-    """Print new events until there is no more to follow."""
+    """Print the events that are not printed yet.
+
+    Reads the event log once, or with *follow* until it is interrupted.
+
+    Returns:
+        The last decoded response.
+    """
     seen = set()
     while True:
         _, response = await client.send_request(b"GET", query, NOTHING)
@@ -281,7 +323,7 @@
 
 
 def format_event(event):
-    """Return one line for an event."""
+    """Format an event as one line."""
     details = " ".join(f"{k}={v}" for k, v in event["details"].items())
     request = f" {event['request']}" if event["request"] else ""
     return (
@@ -291,7 +333,10 @@
 
 
 def print_report(status, response):
-    """Print a verdict; end with exit code 1 if it is no acceptance."""
+    """Print the verdict on a change.
+
+    Exits with `EXIT_REFUSED` unless the change is accepted.
+    """
     if "error" in response:
         raise_unless_ok(status, response)
     if response["verdict"] == "accepted":
@@ -307,16 +352,16 @@
 
 
 def print_in_force_hosts(response):
-    """Print where a change is in force."""
+    """Print the hosts on which a change is in force, or not yet."""
     hosts = ", ".join(response["in_force"])
     click.echo(f"in force after {response['seconds']} s on {hosts}")
     if response["not_in_force"]:
         silent = ", ".join(response["not_in_force"])
-        click.echo(f"not in force yet on {silent}", err=True)
+        click.echo(f"not yet in force on {silent}", err=True)
 
 
 def raise_unless_ok(status, response):
-    """End with an error unless the call went well."""
+    """Raise `click.ClickException` unless *status* is 200."""
     if status != 200:
         message = response.get("error", {}).get("message", response)
         raise click.ClickException(str(message))
--- a/src/hyssopspring/demo.py
+++ b/src/hyssopspring/demo.py
@@ -1,4 +1,4 @@
-"""Two regions with fakes on one reactor: ``hyssop-demo``."""
+"""Demo of two regions with fake backends in one process: ``hyssop-demo``."""
 
 import sys
 
@@ -13,25 +13,32 @@
 from .net.clients import fetch
 
 API_KEY = "demo-key"
+"""API key of the workspace that sends the requests."""
+
 REQUEST_TIMEOUT_SECONDS = 10.0
+"""Time limit of one request to a gateway."""
+
 INVALID_FILE = """\
 workspaces:
   quotes:
     residency: [atlantis]
 """
+"""Configuration file that is refused, as it names an unknown region."""
+
 VALID_FILE = """\
 workspaces:
   quotes:
     deadline_ms: 20000
 """
+"""Configuration file that is accepted."""
 
 
 @click.command()
-@click.option("--once", is_flag=True, help="Run each case once and stop.")
+@click.option("--once", is_flag=True, help="Run each demo case once and exit.")
 @click.option("--log", default="ERROR", show_default=True)
 @click.version_option(package_name="hyssopspring")
 def main(once, log):
-    """Serve two regions with fakes until stopped."""
+    """Serve two regions with fake backends until interrupted."""
     start_logging(log)
     results = []
     work = defer.ensureDeferred(run(once, log))
@@ -46,13 +53,21 @@
 
 
 async def run(once, log):
-    """Start the fleet; run the cases or print how to use it."""
+    """Start the fleet, then run the demo cases or print example commands.
+
+    Args:
+        once: Whether to run the cases and stop the fleet.
+        log: Name of the lowest log level that is written.
+
+    Returns:
+        Whether the fleet started and all cases that ran passed.
+    """
     fleet = Fleet(reactor, Shape(log=log))
     await fleet.start()
     text = configuration_text(fleet.shape.regions, API_KEY)
     status, report = await fleet.put("10-base.yaml", text)
     if status != 200:
-        click.echo(f"the configuration was refused: {report}", err=True)
+        click.echo(f"initial configuration was refused: {report}", err=True)
         return False
     if not once:
         print_usage(fleet)
@@ -64,7 +79,7 @@
 
 
 def print_usage(fleet):
-    """Print lines to paste into a shell."""
+    """Print example shell commands for a running fleet."""
     gateway = fleet.gateways["dar-0"].settings.listen
     admin = fleet.admin.settings.listen
     body = '{"model":"quick-draft","prompt":"Quote for two lorries"'
@@ -72,28 +87,31 @@
         f"curl -s http://{gateway}/v1/completions "
         f"-H 'Authorization: Bearer {API_KEY}' "
     )
-    click.echo("# a request, whole and streamed")
+    click.echo("# a completion request, buffered and streamed")
     click.echo(f"{curl_command}-d '{body}}}'")
     click.echo(f"{curl_command}-N -d '{body},\"stream\":true}}'")
-    click.echo("# a plain service, and the entry hosts to use")
+    click.echo("# a plain HTTP service, and the list of gateways")
     click.echo(
         f"curl -s http://{gateway}/services/rating/quote "
         f"-H 'Authorization: Bearer {API_KEY}' -d 'two lorries'"
     )
     click.echo(f"curl -s http://{gateway}/v1/hosts")
-    click.echo("# the state of all hosts, for operators")
+    click.echo("# the status of all hosts, for operators")
     click.echo(
         f"curl -s http://{admin}/v1/status "
         "-H 'Authorization: Bearer operator-token'"
     )
-    click.echo("# stop with Ctrl-C")
+    click.echo("# press Ctrl-C to stop")
 
 
 class DemoCases:
-    """The cases of ``--once``.
+    """Demo cases that run with ``--once``.
 
     Args:
-        fleet: A `Fleet` that serves.
+        fleet: A started `Fleet`.
+
+    Attributes:
+        all_passed: Whether every case so far passed.
     """
 
     def __init__(self, fleet):
@@ -101,7 +119,7 @@
         self.all_passed = True
 
     async def run_all(self):
-        """Run all cases; return whether each went as it should."""
+        """Run all cases; return whether all passed."""
         await self.check_buffered_response()
         await self.check_streamed_response()
         await self.check_forwarded_request()
@@ -110,12 +128,12 @@
         return self.all_passed
 
     def print_result(self, name, passed, text):
-        """Print the outcome of a case."""
+        """Record and print the result of a case."""
         self.all_passed = self.all_passed and passed
         click.echo(f"{name}: {'right' if passed else 'WRONG'}: {text}")
 
     async def call(self, host, **body_fields):
-        """Send a completion to *host*; return status and body."""
+        """Send a completion request to *host*; return status and body."""
         address = self.fleet.gateways[host].settings.listen
         body = {"model": "quick-draft", "prompt": "Two lorries", **body_fields}
         headers = Headers({b"authorization": [b"Bearer " + API_KEY.encode()]})
@@ -130,23 +148,25 @@
         )
 
     async def check_buffered_response(self):
-        """Serve a request whole, at home."""
+        """Check a buffered response from the home region."""
         status, body = await self.call("dar-0", max_tokens=4)
         response = msgspec.json.decode(body)
         passed = status == 200 and response["usage"]["completion_tokens"] == 4
-        self.print_result("whole answer", passed, f"status {status}, 4 tokens")
+        self.print_result(
+            "buffered response", passed, f"status {status}, 4 tokens"
+        )
 
     async def check_streamed_response(self):
-        """Serve a streamed request."""
+        """Check a streamed response."""
         status, body = await self.call("dar-0", max_tokens=4, stream=True)
         passed = status == 200 and body.endswith(b"data: [DONE]\n\n")
         events = body.count(b"data: ")
         self.print_result(
-            "streamed answer", passed, f"{events} events, end mark last"
+            "streamed response", passed, f"{events} events, [DONE] last"
         )
 
     async def check_forwarded_request(self):
-        """Serve a request in the other region while home has no room."""
+        """Check that a request is forwarded while the home region is full."""
         for name, engine in self.fleet.engines.items():
             engine.faults.refuse = name.startswith("dar")
         before = self.count_requests("arusha")
@@ -157,7 +177,7 @@
         self.print_result("forwarded request", passed, "served in arusha")
 
     def count_requests(self, region):
-        """Return how many requests a region's engines took."""
+        """Return the number of requests that the engines of a region ran."""
         return sum(
             len(engine.ran)
             for name, engine in self.fleet.engines.items()
@@ -165,7 +185,7 @@
         )
 
     async def check_configuration_change(self):
-        """Change the configuration."""
+        """Check that a valid configuration change is in force on all hosts."""
         status, report = await self.fleet.put("20-team.yaml", VALID_FILE)
         hosts = ", ".join(report.get("in_force", []))
         passed = status == 200 and not report["not_in_force"]
@@ -173,7 +193,7 @@
         self.print_result("configuration change", passed, text)
 
     async def check_refused_change(self):
-        """Have a wrong change refused."""
+        """Check that an invalid change is refused with its line number."""
         status, report = await self.fleet.put("30-other.yaml", INVALID_FILE)
         passed = status == 409 and report["line"] == 3
         text = f"line {report['line']}: {report['reason']}"
--- a/src/hyssopspring/load.py
+++ b/src/hyssopspring/load.py
@@ -1,4 +1,4 @@
-"""Open-loop load with percentiles: ``hyssop-load``."""
+"""Open-loop load generator with latency percentiles: ``hyssop-load``."""
 
 import csv
 import sys
@@ -23,7 +23,11 @@
 from .plots import plot_percentiles
 
 MAX_MICROS = 600_000_000
+"""Largest time that a histogram records. Longer times count as this."""
+
 SIGNIFICANT_DIGITS = 3
+"""Significant decimal digits of the times in a histogram."""
+
 PERCENTILES = (50.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 TIMING_KINDS = ("first_token", "between_tokens", "whole")
 
@@ -32,13 +36,13 @@
     """One kind of request of a mix.
 
     Attributes:
-        weight: How often it is sent, relative to the others.
-        model: Model to ask for.
-        key: Caller's key.
-        prompt: The prompt.
-        max_tokens: Tokens of the answer.
-        stream: Whether to ask for a stream.
-        headers: More headers.
+        weight: Relative frequency within the mix.
+        model: Name of the requested model.
+        key: API key of the caller.
+        prompt: Prompt text.
+        max_tokens: Maximum number of output tokens.
+        stream: Whether to request a streamed response.
+        headers: Additional request headers.
     """
 
     weight: float = 1.0
@@ -51,20 +55,20 @@
 
 
 def make_histogram():
-    """Return an empty histogram of microseconds."""
+    """Return an empty histogram of times in microseconds."""
     return HdrHistogram(1, MAX_MICROS, SIGNIFICANT_DIGITS)
 
 
 @dataclass
 class Results:
-    """What a run measured.
+    """Measurements of a load run.
 
     Attributes:
-        outcomes: Count by outcome.
-        histograms: Histogram by kind of time, in microseconds.
-        stream_events: Stream events that arrived.
-        max_send_delay: Longest delay of a send behind its schedule, in
-            seconds.
+        outcomes: Number of requests by outcome.
+        histograms: Histogram in microseconds by kind of time.
+        stream_events: Number of stream events received, one per token.
+        max_send_delay: Longest delay of a request behind its scheduled
+            time, in seconds.
     """
 
     outcomes: Counter = field(default_factory=Counter)
@@ -77,12 +81,12 @@
     max_send_delay: float = 0.0
 
     def record(self, kind, seconds):
-        """Note one time."""
+        """Record one time, limited to the range of the histogram."""
         micros = max(1, min(MAX_MICROS, int(seconds * 1e6)))
         self.histograms[kind].record_value(micros)
 
     def rows(self):
-        """Return a row of percentiles in milliseconds for each kind."""
+        """Return count and percentiles, in milliseconds, for each kind."""
         return [
             [kind, histogram.get_total_count()]
             + [
@@ -95,7 +99,17 @@
 
 
 class ResponseTimer(protocol.Protocol):
-    """Time the parts of one answer."""
+    """Record the times at which the chunks of a response body arrive.
+
+    Args:
+        run: The `LoadRun` whose results are updated.
+        due_at: Scheduled time of the request.
+        stream: Whether the response is streamed.
+
+    Attributes:
+        done: Deferred that is called with whether the response is complete.
+            A streamed response must also contain the ``[DONE]`` event.
+    """
 
     def __init__(self, run, due_at, stream):
         self.run = run
@@ -106,7 +120,7 @@
         self.done = defer.Deferred()
 
     def dataReceived(self, data):
-        """Note when a part came."""
+        """Record the arrival of a chunk."""
         now = self.run.clock.seconds()
         results = self.run.results
         if self.last_data_at is NOTHING:
@@ -121,7 +135,7 @@
             )
 
     def connectionLost(self, reason):
-        """Tell how the answer ended."""
+        """Fire `done` with whether the response is complete."""
         complete = reason.check(ResponseDone) is not None
         self.done.callback(
             complete and (self.done_event_seen or not self.stream)
@@ -129,17 +143,18 @@
 
 
 class LoadRun:
-    """Send requests on a schedule, whatever became of earlier ones.
+    """Send requests on a fixed schedule, without waiting for responses.
 
-    Times count from the moment at which a request was due. A generator
-    that waits for slow answers would send less while the server stalls,
-    and so leave out the very times that matter.
+    Times are measured from the scheduled time of a request. A load generator
+    that waits for slow responses sends fewer requests while the server
+    stalls, and so omits the longest latencies from its measurement
+    (coordinated omission).
 
     Args:
         clock: The reactor.
-        urls: Base addresses to send to, in turn.
-        rate: Requests a second.
-        duration: Seconds for which requests are sent.
+        urls: Base URLs, used in round-robin order.
+        rate: Requests per second.
+        duration: Time for which requests are sent, in seconds.
         mix: List of `MixEntry`.
     """
 
@@ -157,7 +172,7 @@
         self.pending = set()
 
     async def run(self):
-        """Send all requests; return the `Results`."""
+        """Send all requests; return the `Results` after the last response."""
         self.started_at = self.clock.seconds()
         while self.sent < self.count:
             due_at = self.started_at + self.sent / self.rate
@@ -175,7 +190,7 @@
         return self.results
 
     def send(self, due_at):
-        """Send the next request."""
+        """Start the next request of the mix."""
         mix_entry = self.mix[self.sent % len(self.mix)]
         url = self.urls[self.sent % len(self.urls)]
         self.sent += 1
@@ -186,7 +201,7 @@
         work.addBoth(lambda _: self.pending.discard(work))
 
     async def send_and_record(self, mix_entry, url, due_at):
-        """Send one request and note its outcome."""
+        """Send one request and record its outcome."""
         results = self.results
         try:
             outcome = await self.request_outcome(mix_entry, url, due_at)
@@ -197,7 +212,16 @@
             results.record("whole", self.clock.seconds() - due_at)
 
     async def request_outcome(self, mix_entry, url, due_at):
-        """Return the name of one request's outcome."""
+        """Send one request and return the name of its outcome.
+
+        Returns:
+            ``answered``, ``cut`` for a truncated response, or the reason or
+            status of an error response.
+
+        Raises:
+            ConnectError: The connection failed.
+            ResponseFailed: The response failed.
+        """
         body = {
             "model": mix_entry.model,
             "prompt": mix_entry.prompt,
@@ -225,12 +249,12 @@
 
 
 def json_body(value):
-    """Return a body producer of *value* as JSON."""
+    """Return a body producer that sends *value* as JSON."""
     return FileBodyProducer(BytesIO(msgspec.json.encode(value)))
 
 
 def expand_by_weight(mix):
-    """Return a sequence in which each entry stands by its weight."""
+    """Return a list that repeats each entry in proportion to its weight."""
     min_weight = min(mix_entry.weight for mix_entry in mix)
     sequence = []
     for mix_entry in mix:
@@ -241,7 +265,10 @@
 
 
 def read_mix(path):
-    """Return the mix of a YAML file, or a single plain entry."""
+    """Return the mix of a YAML file, or one default entry without a path.
+
+    Exits with status 2 if the file is invalid.
+    """
     if not path:
         return [MixEntry()]
     with open(path, encoding="utf-8") as file:
@@ -249,19 +276,19 @@
     try:
         return msgspec.convert(values["mix"], list[MixEntry])
     except (msgspec.ValidationError, KeyError, TypeError) as error_:
-        click.echo(f"{path}: mix: {error_}", err=True)
+        click.echo(f"{path}: invalid mix: {error_}", err=True)
         sys.exit(2)
 
 
 def print_results(results, seconds):
-    """Print outcomes and percentiles."""
+    """Print the outcomes and the percentiles of a run."""
     total = sum(results.outcomes.values())
     click.echo(f"{total} requests in {seconds:.1f} s")
     for outcome, count in results.outcomes.most_common():
         click.echo(f"  {outcome}: {count}")
-    click.echo(f"  tokens a second: {results.stream_events / seconds:.0f}")
+    click.echo(f"  tokens per second: {results.stream_events / seconds:.0f}")
     click.echo(
-        f"  latest send behind schedule: {results.max_send_delay:.3f} s"
+        f"  longest send delay behind schedule: {results.max_send_delay:.3f} s"
     )
     names = "  ".join(f"p{point:g}" for point in PERCENTILES)
     click.echo(f"milliseconds: count  {names}")
@@ -270,7 +297,7 @@
 
 
 def write_csv(results, path):
-    """Write the percentiles into a CSV file."""
+    """Write the percentiles to a CSV file."""
     with open(path, "w", newline="", encoding="utf-8") as file:
         writer = csv.writer(file)
         writer.writerow(
@@ -288,7 +315,7 @@
 @click.option("--plot", "plot_path", type=click.Path())
 @click.version_option(package_name="hyssopspring")
 def main(urls, rate, duration, mix_path, csv_path, plot_path):
-    """Send an open-loop load and print its percentiles."""
+    """Generate open-loop load and print latency percentiles."""
     from twisted.internet import reactor
 
     run = LoadRun(reactor, urls, rate, duration, read_mix(mix_path))
--- a/src/hyssopspring/logs.py
+++ b/src/hyssopspring/logs.py
@@ -1,14 +1,19 @@
-"""Log lines of numbered events."""
+"""Logging of numbered events to standard error."""
 
 import sys
 
 import logbook
 
 REQUEST_EVENT_NUMBERS = range(200, 208)
+"""Numbers of the events of single requests, which are logged as DEBUG."""
 
 
 def start_logging(level):
-    """Write log lines of *level* and above to standard error."""
+    """Write log messages of *level* and above to standard error.
+
+    Args:
+        level: Name of a logbook level.
+    """
     handler = logbook.StreamHandler(
         sys.stderr,
         level=level,
@@ -21,14 +26,14 @@
 
 
 class EventLogger:
-    """Write a line for each event of a time line.
+    """Event log listener that writes a log message for each event.
 
-    Events of single requests go to level DEBUG: a line for each would
-    cost more than serving the request.
+    Events of single requests are logged at level DEBUG, as writing a message
+    for each costs more than serving the request.
 
     Args:
-        host: Name of the host.
-        level: Least level that is written.
+        host: Name of the host, used as the name of the logger.
+        level: Lowest level that is written.
     """
 
     def __init__(self, host, level):
@@ -36,7 +41,7 @@
         self.minimum_level = logbook.lookup_level(level)
 
     def __call__(self, event):
-        """Write one event."""
+        """Log one event."""
         level = (
             logbook.DEBUG
             if event.number in REQUEST_EVENT_NUMBERS
--- a/src/hyssopspring/metrics.py
+++ b/src/hyssopspring/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings for statsd."""
+"""Metrics sent to statsd."""
 
 import statsd
 
@@ -8,11 +8,11 @@
 
 
 def make_metrics(address, host):
-    """Return a statsd client, or one that drops everything.
+    """Return a statsd client, or a `NullMetrics` without an address.
 
     Args:
-        address: Address of the collector, or an empty string.
-        host: Name of this host.
+        address: Address of the statsd server, or an empty string.
+        host: Name of this host, which is part of each metric name.
     """
     if not address:
         return NullMetrics()
@@ -21,23 +21,23 @@
 
 
 class NullMetrics:
-    """Drop all metrics."""
+    """Replacement for `statsd.StatsClient` that discards all metrics."""
 
     def incr(self, name, count=1):
-        """Drop a count."""
+        """Discard a counter increment."""
 
     def gauge(self, name, value):
-        """Drop a gauge."""
+        """Discard a gauge value."""
 
     def timing(self, name, millis):
-        """Drop a timing."""
+        """Discard a timing."""
 
 
 class EventCounter:
-    """Count each event of a time line by its name.
+    """Event log listener that counts the events by name.
 
     Args:
-        metrics: The statsd client.
+        metrics: A statsd client or a `NullMetrics`.
     """
 
     def __init__(self, metrics):
--- a/src/hyssopspring/observability.py
+++ b/src/hyssopspring/observability.py
@@ -1,4 +1,4 @@
-"""What every process sets up to be seen: time line, logs and metrics."""
+"""Event log, log messages and metrics that every process sets up."""
 
 import random
 
@@ -9,11 +9,11 @@
 
 
 def make_timeline(settings, wall_clock):
-    """Return a `Timeline` whose events are logged and counted.
+    """Return a `Timeline` whose events are also logged and counted.
 
     Args:
-        settings: Any `ProcessSettings`.
-        wall_clock: Callable that returns the wall clock in seconds.
+        settings: `ProcessSettings` of any process.
+        wall_clock: Callable that returns the wall-clock time in seconds.
     """
     metrics = make_metrics(settings.statsd, settings.host)
     listeners = [
@@ -29,7 +29,8 @@
     """Return a random number generator.
 
     Args:
-        seed: The seed, or `NOTHING` for the system's randomness.
+        seed: The seed, or `NOTHING` for the random source of the operating
+            system.
     """
     if seed is NOTHING:
         return random.SystemRandom()
@@ -37,5 +38,5 @@
 
 
 def log_failure(host, reason):
-    """Write the trace of a failure that nobody expected."""
+    """Log the traceback of an unexpected failure."""
     EventLogger(host, "DEBUG").logger.error("{}", reason.getTraceback())
--- a/src/hyssopspring/plots.py
+++ b/src/hyssopspring/plots.py
@@ -1,19 +1,19 @@
-"""Plots, drawn only where the plotting library is installed."""
+"""Plots, which need the optional dependency matplotlib."""
 
 import click
 
 
 def load_pyplot():
-    """Return the plotting library.
+    """Return `matplotlib.pyplot` with a backend that writes files only.
 
     Raises:
-        click.ClickException: It is not installed.
+        click.ClickException: matplotlib is not installed.
     """
     try:
         import matplotlib
     except ImportError:
         raise click.ClickException(
-            "plots need the extra 'plot': pip install hyssopspring[plot]"
+            "matplotlib is not installed: pip install hyssopspring[plot]"
         ) from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -22,11 +22,11 @@
 
 
 def plot_timeline(events, path):
-    """Draw events over time, a row for each host.
+    """Plot events over time, with one row per host.
 
     Args:
-        events: Events as the administration gives them.
-        path: PNG file to write.
+        events: Events as decoded from a response of the admin server.
+        path: Path of the PNG file to write.
     """
     pyplot = load_pyplot()
     hosts = sorted({event["host"] for event in events})
@@ -48,11 +48,11 @@
 
 
 def plot_percentiles(histograms, path):
-    """Draw the time at each percentile, a line for each kind.
+    """Plot the time at each percentile, with one line per kind.
 
     Args:
-        histograms: Histogram of microseconds by kind.
-        path: PNG file to write.
+        histograms: Histogram in microseconds by kind of time.
+        path: Path of the PNG file to write.
     """
     pyplot = load_pyplot()
     figure, axes = pyplot.subplots(figsize=(7, 4))
--- a/src/hyssopspring/records.py
+++ b/src/hyssopspring/records.py
@@ -1,4 +1,4 @@
-"""Read structured log lines of several processes into one order."""
+"""Merge the structured log lines of several processes and explain them."""
 
 import msgspec
 
@@ -8,27 +8,30 @@
 __all__ = ["LogRecord", "cause_of", "format_record", "read_records"]
 
 STANDARD_FIELDS = ("ms", "n", "host", "event", "number", "request")
-
+"""Fields of every log line, which are left out of its details."""
 
 PRECEDING_WINDOW_MILLIS = 2500
-"""Milliseconds before a placement in which others count as before it: the
-reading of the longest prompts takes two seconds."""
+"""Time before a placement within which other placements at its server are
+reported as preceding it. It exceeds the prefill time of the longest prompts,
+which is two seconds."""
 
 MIN_STALL_MILLIS = 300
-"""Milliseconds without an event from which a stream seems to stand still:
-the shortest bound on any of the users' sheets."""
+"""Time without an event after which a stream counts as stalled: the shortest
+such limit that any user requires."""
 
 
 class LogRecord(msgspec.Struct, frozen=True):
     """One log line.
 
     Attributes:
-        millis: Hybrid logical time, wall-clock part in milliseconds.
-        counter: Hybrid logical time, part that orders equal times.
-        host: Host that wrote it.
-        event: Name in the catalogue.
-        request: Request that it belongs to, or an empty string.
-        details: What else it says, by name.
+        millis: Wall-clock part of the hybrid logical time, in milliseconds.
+        counter: Counter of the hybrid logical time, which orders events of
+            the same millisecond.
+        host: Host that wrote the line.
+        event: Event name from the event catalogue.
+        request: ID of the request that the event belongs to, or an empty
+            string.
+        details: All other fields, by name.
     """
 
     millis: int
@@ -40,13 +43,13 @@
 
 
 def read_records(lines):
-    """Return the records of *lines* in one order.
+    """Return the records of *lines*, sorted by hybrid logical time.
 
-    Text before the first brace, such as the mark of a log collector, is
-    left out; so are lines that are no records.
+    Text before the first brace, such as the prefix of a log collector, is
+    ignored, and so are lines that are not valid records.
 
     Args:
-        lines: Lines of text of any number of processes.
+        lines: Lines of text from any number of processes.
     """
     records = []
     for line in lines:
@@ -64,10 +67,10 @@
 
 
 def read_record(text):
-    """Return the record of one line.
+    """Parse the JSON object of one line.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: The text is not a valid record.
     """
     try:
         values = msgspec.json.decode(text)
@@ -84,11 +87,11 @@
             },
         )
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as problem:
-        raise ProtocolError(f"log line: {problem}") from None
+        raise ProtocolError(f"invalid log line: {problem}") from None
 
 
 def format_record(record):
-    """Return one line for a person."""
+    """Format a record as one readable line."""
     details = " ".join(f"{k}={v}" for k, v in record.details.items() if v)
     return (
         f"{record.millis} {record.counter} {record.host} "
@@ -97,15 +100,15 @@
 
 
 def cause_of(records, all_records=()):
-    """Return why a request ended as it did, from records alone.
+    """Explain the outcome of a request from its log records.
 
     Args:
-        records: Its `LogRecord` list, in order.
+        records: `LogRecord` list of the request, sorted by time.
         all_records: `LogRecord` list of all requests, from which the requests
-            placed just before it at its server are found; may be left out.
+            placed just before it at its server are found. Optional.
 
     Returns:
-        One line of text.
+        The explanation, as one line of text.
     """
     refused = [record for record in records if record.event == "not_run"]
     ended_attempts = [
@@ -116,7 +119,7 @@
         record for record in records if record.event in ("answered", "unknown")
     ]
     if not final and not refused:
-        return "it has not ended, or its end was left out"
+        return "the request has not ended, or its last log line was dropped"
     last = (final or refused)[-1]
     parts = [f"{last.details.get('how', 'refused')} by {last.host}"]
     for record in ended_attempts:
@@ -139,13 +142,13 @@
 
 
 def describe_versions(records):
-    """Return a text for each host on the configuration that it held.
+    """Return a text on the configuration version of each host.
 
-    Hosts that held different ones explain a request that was handled as
-    only an older one allows.
+    If the hosts of a request held different versions, the older one can
+    explain a decision that the newer one rules out.
 
     Args:
-        records: `LogRecord` list of a request.
+        records: `LogRecord` list of the request.
     """
     version_details = {
         record.host: record.details
@@ -161,10 +164,10 @@
 
 
 def describe_lateness(details):
-    """Return texts that say how an answer missed what users want.
+    """Return a text for each latency target that a response missed.
 
     Args:
-        details: Those of the record of its end, by name.
+        details: Details of the record of its end, by name.
     """
     if "objective_ms" not in details or details.get("how") != "answered":
         return []
@@ -172,21 +175,22 @@
     texts = []
     if first > objective:
         texts.append(
-            f"began late, after {first} ms with an objective of {objective} ms"
+            f"first output late, after {first} ms with an objective of "
+            f"{objective} ms"
         )
         predicted = float(details["predicted"]) * 1000
         if predicted <= objective:
-            texts.append(f"wrongly predicted, {predicted:.0f} ms")
+            texts.append(f"prediction too low, {predicted:.0f} ms")
     if int(details["longest_gap_ms"]) > MIN_STALL_MILLIS:
-        texts.append(f"stood still for {details['longest_gap_ms']} ms")
+        texts.append(f"stalled for {details['longest_gap_ms']} ms")
     return texts
 
 
 def describe_preceding(placed, all_records):
-    """Return a text on the requests sent to a server just before record.
+    """Return a text on the requests placed at a server just before one.
 
     Args:
-        placed: The `LogRecord` of its placement.
+        placed: `LogRecord` of the placement of the request in question.
         all_records: `LogRecord` list of all requests.
     """
     server = placed.details["server"]
@@ -204,31 +208,31 @@
         preceding, key=lambda record: float(record.details["predicted"])
     )
     return [
-        f"{len(preceding)} others were sent to {server} within "
-        f"{PRECEDING_WINDOW_MILLIS} ms before, {longest.request} the slowest "
-        f"of them "
+        f"{len(preceding)} other requests were sent to {server} "
+        f"within {PRECEDING_WINDOW_MILLIS} ms before, {longest.request} the "
+        f"slowest of them "
         f"(predicted {longest.details['predicted']} s, urgency "
         f"{longest.details['urgency']})"
     ]
 
 
 def describe_limit(details):
-    """Return which limit was reached, and how it stood.
+    """Return a text on the limit that was exceeded and its state.
 
     Args:
-        details: Those of the record of the refusal, by name.
+        details: Details of the record of the refusal, by name.
     """
     share = int(details["units"]) / WHOLE
     return (
         f", workspace {details['workspace']} asked for {details['cost']} "
         f"tokens with {details['left']} left at {details['counted_by']}, "
-        f"which holds {share:.0%} of the limit and is asked for "
-        f"{details['demand']} a second"
+        f"which holds {share:.0%} of the limit, with a demand of "
+        f"{details['demand']} tokens per second"
     )
 
 
 def describe_refusal(record):
-    """Return why and until when a request was refused."""
+    """Return a text on why a request was refused and when to retry it."""
     text = f"refused: {record.details.get('reason', '')}"
     if "predicted" in record.details:
         text += f", predicted {record.details['predicted']} s"
@@ -237,9 +241,12 @@
     if "counted_by" in record.details:
         text += describe_limit(record.details)
     if record.details.get("evidence"):
-        text += f", servers ended under it: {record.details['evidence']}"
+        text += (
+            f", server crashes while it was running: "
+            f"{record.details['evidence']}"
+        )
     if record.details.get("closed_by"):
-        text += f", no server open: {record.details['closed_by']}"
+        text += f", no server available: {record.details['closed_by']}"
     if "retry_after" not in record.details:
         return text
-    return f"{text}, come back in {record.details['retry_after']} s"
+    return f"{text}, retry after {record.details['retry_after']} s"
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -233,7 +233,9 @@
     assert any(name in evidence_of(hosts, "rh-south") for name in ended)
     records = read_records(hosts.lines)
     mine = [one for one in records if one.request == "rh-south"]
-    assert_that(cause_of(mine), Contains("servers ended under it"))
+    assert_that(
+        cause_of(mine), Contains("server crashes while it was running")
+    )
 
 
 def all_of(hosts):
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -140,7 +140,7 @@
                 ("not_run", {"predicted": "3.1", "retry_after": "1.2"}),
                 ("unknown", {"how": "NotRun: overloaded"}),
             ],
-            ("refused", "predicted 3.1 s", "come back in 1.2 s"),
+            ("refused", "predicted 3.1 s", "retry after 1.2 s"),
         ),
         (
             [
@@ -232,6 +232,6 @@
     own = [one for one in everything if one.request == "r1"]
     cause = cause_of(own, everything)
     assert_that(cause, Contains("after 1021 ms with an objective of 800 ms"))
-    assert_that(cause, Contains("wrongly predicted, 36 ms"))
-    assert_that(cause, Contains("stood still for 448 ms"))
+    assert_that(cause, Contains("prediction too low, 36 ms"))
+    assert_that(cause, Contains("stalled for 448 ms"))
     assert_that(cause, Contains("long the slowest of them"))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -152,7 +152,7 @@
     assert_that(shown.returncode, Equals(1))
     assert_that(shown.stderr, Contains("30-bad.yaml:3:"))
     shown = hyssopctl(processes, "config", "explain", "brokers")
-    assert_that(shown.stdout, Contains("20-team.yaml:1 says 20000"))
+    assert_that(shown.stdout, Contains("20-team.yaml:1 sets 20000"))
     shown = hyssopctl(processes, "timeline")
     assert_that(shown.stdout, Contains("config_refused"))
     for name in ("20-team.yaml", "30-bad.yaml"):
