--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,4 +1,7 @@
-"""Emulate loads with each mechanism of the policy switched off in turn."""
+"""Emulate loads with each mechanism of the policy disabled in turn.
+
+Usage: ``python benchmarks/ablation.py [LOAD ...]``.
+"""
 
 import dataclasses
 import sys
@@ -11,7 +14,12 @@
 
 
 def mean_on_time_share(shape, disabled):
-    """Return the mean share of requests on time over the seeds."""
+    """Return the share of requests served on time, averaged over the seeds.
+
+    Args:
+        shape: The emulated load.
+        disabled: Frozen set of the disabled mechanisms.
+    """
     changed_shape = dataclasses.replace(shape, off=disabled)
     return sum(emulate(changed_shape, seed).share() for seed in SEEDS) / len(
         SEEDS
@@ -19,7 +27,7 @@
 
 
 def main(names):
-    """Print a row for each mechanism, and the share on time by load."""
+    """Print the share on time by load, with one row per mechanism."""
     chosen = {name: LOADS[name] for name in names or LOADS}
     print("without".ljust(12), *(name.rjust(14) for name in chosen))
     rows = [frozenset(), *(frozenset({mechanism}) for mechanism in Mechanism)]
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,8 @@
-"""Slopes of what each role costs, and the plan's size worked out.
+"""Measure how the cost of each role grows, and extrapolate to full size.
 
-Usage: ``python benchmarks/capacity.py``. Each slope is measured over at
-least three sizes in this run; the last table multiplies it by the size.
+Usage: ``python benchmarks/capacity.py``. Each cost is measured for at least
+three sizes and fitted by a line. The last table evaluates these lines at the
+size of the planned deployment, which the constants below give.
 """
 
 import gc
@@ -55,11 +56,13 @@
 SECONDS_PER_DAY = 86_400
 RETENTION_HOURS = 3
 MEASURE_SECONDS = 5.0
+"""Time for which an idle fleet is measured."""
+
 SIGNER = Signer("capacity")
 
 
 def time_call(call, times):
-    """Return microseconds of processor time of one call."""
+    """Return the mean processor time of one call in microseconds."""
     began = time.process_time()
     for _ in range(times):
         call()
@@ -77,7 +80,7 @@
 
 
 def print_series(title, unit, points):
-    """Print one measured series with its slope; return the line."""
+    """Print a series of measurements and its fit; return the fitted line."""
     line = slope(points)
     shown = ", ".join(f"{x:g}: {y:.1f}" for x, y in points)
     print(f"{title}: {shown}  -> {line[0]:.1f} + {line[1]:.4f} each, {unit}")
@@ -85,7 +88,7 @@
 
 
 def make_servers(count):
-    """Return a table with reports of *count* servers."""
+    """Return a server table with a load report of each of *count* servers."""
     table = ServerTable("c")
     models = [Target(TargetKind.MODEL, f"model-{n}") for n in range(MODELS)]
     table.replace(
@@ -104,7 +107,7 @@
 
 
 def report(sequence):
-    """Return a load report."""
+    """Return a load report with the given sequence number."""
     return LoadReport(
         incarnation=1,
         sequence=sequence,
@@ -117,7 +120,7 @@
 
 
 def heartbeat(servers):
-    """Return a heartbeat with the loads of *servers* servers."""
+    """Return a heartbeat with the load of *servers* backend servers."""
     loads = [
         ServerLoad(2**31 + n, 2**31 + n, 99999, 3, 1, 8, False)
         for n in range(servers)
@@ -136,7 +139,7 @@
 
 
 def measure_heartbeats():
-    """Measure bytes and processor time of heartbeats."""
+    """Measure the size and processor time of heartbeats."""
     sizes, sending, receiving = [], [], []
     for servers in (1, 7, 45, 450):
         message = heartbeat(servers)
@@ -153,24 +156,24 @@
     return (
         print_series("heartbeat by loads in it", "bytes", sizes),
         print_series("  send", "us", sending),
-        print_series("  hear", "us", receiving),
+        print_series("  receive", "us", receiving),
     )
 
 
 def send(message):
-    """Encode and sign a message as the bus does."""
+    """Encode and sign a message, as the message bus does."""
     data = ENCODER.encode(message)
     return SIGNER.sign(b"b:c", data)
 
 
 def receive(data, signature):
-    """Check and decode a message as the bus does."""
+    """Verify and decode a message, as the message bus does."""
     assert SIGNER.verify(signature, b"b:c", data)
     return decode_message(data)
 
 
 def measure_summaries():
-    """Measure bytes and processor time of summaries."""
+    """Measure the size and processor time of data centre summaries."""
     sizes, receiving = [], []
     for models in (4, 34, 340):
         table = ServerTable("c")
@@ -215,12 +218,12 @@
         )
     return (
         print_series("summary by models", "bytes", sizes),
-        print_series("  hear", "us", receiving),
+        print_series("  receive", "us", receiving),
     )
 
 
 def measure_table():
-    """Measure a report's cost in the server table, and its memory."""
+    """Measure the memory of the server table and the cost of a report."""
     taking, memory = [], []
     for servers in (5, 50, 500):
         gc.collect()
@@ -243,12 +246,12 @@
         )
     return (
         print_series("server table by servers", "KB", memory),
-        print_series("  take one report", "us", taking),
+        print_series("  apply one report", "us", taking),
     )
 
 
 def make_files(count):
-    """Return a folder of *count* files, a workspace each."""
+    """Return a folder of *count* files with one workspace each."""
     regions = ", ".join(f"region-{n}: {{}}" for n in range(17))
     files = {
         "00-base.yaml": RawFile(
@@ -271,7 +274,7 @@
 
 
 def measure_configuration():
-    """Measure the accepted value and the judging by files."""
+    """Measure the accepted configuration by its number of files."""
     sizes, validating, decoding, memory = [], [], [], []
     for count in (10, 100, 330, 1000):
         folder = make_files(count)
@@ -303,15 +306,15 @@
         tracemalloc.stop()
         del kept
     return (
-        print_series("accepted value by files", "KB", sizes),
-        print_series("  judge one change", "ms", validating),
+        print_series("accepted configuration by files", "KB", sizes),
+        print_series("  validate one change", "ms", validating),
         print_series("  decode at a gateway", "ms", decoding),
         print_series("  memory at a gateway", "KB", memory),
     )
 
 
 def measure_claims():
-    """Measure bytes, memory and folding of claims."""
+    """Measure the size, memory and processing time of claims."""
     rng = random.Random(1)
     memory, applying, sizes = [], [], []
     for count in (1_000, 10_000, 50_000):
@@ -338,14 +341,25 @@
             (count, len(encode_segment(Segment(records=records))) / 1024)
         )
     return (
-        print_series("claim index by keys", "KB beyond the records", memory),
-        print_series("  fold", "ms", applying),
+        print_series(
+            "claim index by keys", "KB in addition to the records", memory
+        ),
+        print_series("  apply", "ms", applying),
         print_series("  stored", "KB", sizes),
     )
 
 
 async def measure_fleet(gateways, regions):
-    """Return per-daemon figures of a fleet on this reactor."""
+    """Measure an idle fleet that runs on the reactor of this process.
+
+    Args:
+        gateways: Number of gateways in all regions.
+        regions: Number of regions.
+
+    Returns:
+        Dictionary of processor time, traffic and polls per gateway, and of
+        the reads of the key-value store in total.
+    """
     names = tuple(f"region{n}" for n in range(regions))
     shape = Shape(
         regions=names,
@@ -359,7 +373,7 @@
         "10-base.yaml", configuration_text(names, "key")
     )
     if status != 200:
-        raise SystemExit(f"refused: {answer}")
+        raise SystemExit(f"configuration was refused: {answer}")
     await task.deferLater(reactor, 2.0)
     bus = [gateway.bus for gateway in fleet.gateways.values()]
     sent = sum(one.bytes_sent for one in bus)
@@ -388,21 +402,21 @@
 
 
 async def measure_fleets():
-    """Measure fleets of three sizes, idle."""
+    """Measure idle fleets of three sizes."""
     found = []
     for gateways, regions in ((2, 2), (8, 2), (32, 4)):
         figures = await measure_fleet(gateways, regions)
         found.append((gateways, figures))
         shown = ", ".join(f"{k} {v:.2f}" for k, v in figures.items())
         print(f"fleet of {gateways} gateways in {regions} regions: {shown}")
-    print("  (cpu in % of a core a daemon, stand-ins and administration")
-    print("   included; bytes and polls a second a daemon; reads of the")
-    print("   key-value service a second in all)")
+    print("  (cpu in % of a core per gateway, fakes and the admin server")
+    print("   included; bytes and polls per second and gateway; reads of")
+    print("   the key-value store per second in total)")
     return found
 
 
 async def run():
-    """Measure everything and print the plan's size."""
+    """Measure all costs and print the estimate for the planned size."""
     beat = measure_heartbeats()
     summary = measure_summaries()
     table = measure_table()
@@ -413,62 +427,68 @@
 
 
 def value_at(line, size):
-    """Return what a line gives at *size*."""
+    """Evaluate a fitted line at *size*."""
     return line[0] + line[1] * size
 
 
 def print_estimate(beat, summary, table, configuration, claims):
-    """Print what each mechanism costs at the plan's size."""
+    """Print the cost of each mechanism at the planned size."""
     hosts = GATEWAYS / DATA_CENTRES
     servers = SERVERS / DATA_CENTRES
     own = servers / hosts
     peers = hosts - 1
     size, send_us, receive_us = (value_at(line, own) for line in beat)
-    print(f"--- at {GATEWAYS} daemons, {DATA_CENTRES} data centres, {SERVERS}")
     print(
-        f"heartbeats: {size * peers:.0f} bytes/s out and as many in, "
-        f"{(send_us + peers * receive_us) / 1e4:.4f}% of a core a daemon"
+        f"--- {GATEWAYS} gateways, {DATA_CENTRES} data centres, "
+        f"{SERVERS} backend servers"
+    )
+    print(
+        f"heartbeats: {size * peers:.0f} bytes/s sent and received each, "
+        f"{(send_us + peers * receive_us) / 1e4:.4f}% of a core per "
+        "gateway"
     )
     reports = servers * value_at(table[1], servers)
-    print(f"load reports taken: {reports / 1e4:.4f}% of a core a daemon")
-    print(f"load polls: {own / 2:.1f} a second a daemon if all are idle")
+    print(f"load reports: {reports / 1e4:.4f}% of a core per gateway")
+    print(f"load polls: {own / 2:.1f} per second and gateway if all are idle")
     size = value_at(summary[0], MODELS)
     listeners = GATEWAYS - hosts
     every = max(1.0, size * listeners / 1000)
     print(
         f"summaries: {size:.0f} bytes to {listeners:.0f} listeners, one "
-        f"every {every:.0f} s at the pace of 1,000 bytes/s; "
+        f"every {every:.0f} s at the rate limit of 1,000 bytes/s; "
         f"{DATA_CENTRES * value_at(summary[1], MODELS) / every / 1e4:.4f}% "
-        "of a core to hear all"
+        "of a core to receive all"
     )
     value = value_at(configuration[0], WORKSPACES)
     changes = CHANGES_PER_DAY / SECONDS_PER_DAY
     print(
-        f"configuration: value of {value:.0f} KB, "
-        f"{value * 1024 * changes:.0f} bytes/s in on average, "
+        f"configuration: size of {value:.0f} KB, "
+        f"{value * 1024 * changes:.0f} bytes/s received on average, "
         f"{value_at(configuration[2], WORKSPACES) * changes / 10:.4f}% "
         "of a core, "
-        f"{value_at(configuration[3], WORKSPACES):.0f} KB of memory a "
-        "daemon; "
-        f"judging {value_at(configuration[1], WORKSPACES):.0f} ms a change"
+        f"{value_at(configuration[3], WORKSPACES):.0f} KB of memory per "
+        "gateway; "
+        f"validation takes {value_at(configuration[1], WORKSPACES):.0f} ms "
+        "per change"
     )
     keys = KEYED_REQUESTS_PER_SECOND * RETENTION_HOURS * 3600
     owned = keys / SHARDS
     print(
-        f"claims at {KEYED_REQUESTS_PER_SECOND} keyed a second, kept for "
-        f"{RETENTION_HOURS} h: {keys:,} keys, "
+        f"claims at {KEYED_REQUESTS_PER_SECOND} keyed requests per second, "
+        f"kept for {RETENTION_HOURS} h: {keys:,} keys, "
         f"{owned * (claims[0][1] + 0.11) / 1024:.1f} MB at each owner of "
         f"one of {SHARDS} shards, "
         f"{keys * claims[2][1] / 1024:.0f} MB stored"
     )
     print(
-        f"watches: {2 * DATA_CENTRES}, host list reads {2 * DATA_CENTRES}/s + "
+        f"watches: {2 * DATA_CENTRES}, "
+        f"host list reads: {2 * DATA_CENTRES}/s + "
         f"{(GATEWAYS - 2 * DATA_CENTRES) / 10:.0f}/s"
     )
 
 
 def main():
-    """Run on the reactor."""
+    """Run all measurements on the reactor."""
     task.react(lambda _: defer.ensureDeferred(run()))
 
 
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -1,8 +1,9 @@
-"""Time from writing a file until it is in force at the last host.
+"""Measure the time until a configuration change is in force on all hosts.
 
-Separate processes of the three-region example: changes one after the
-other, then the calls of the key-value service a second, idle and while
-keyed single runs arrive. Usage: ``python benchmarks/changes.py [COUNT]``.
+Runs the three-region example as separate processes. Writes changes one after
+the other, then measures the call rate of the key-value store, both idle and
+under non-repeatable requests with idempotency keys.
+Usage: ``python benchmarks/changes.py [COUNT]``.
 """
 
 import concurrent.futures
@@ -20,12 +21,17 @@
 from processes import Processes  # noqa: E402
 
 IDLE_SECONDS = 5.0
+"""Time for which the idle fleet is measured."""
+
 KEYED_RATES = (100, 400)
+"""Requests with idempotency keys per second, one measurement each."""
+
 KEYED_SECONDS = 4.0
+"""Time for which requests are sent at each rate."""
 
 
 def main():
-    """Print the figures."""
+    """Run all measurements and print their results."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else 100
     topology = yaml.safe_load(
         (ROOT / "examples" / "kilimanjaro.yaml").read_text()
@@ -44,7 +50,7 @@
 
 
 def report_changes(processes, count):
-    """Write *count* plain changes and ten restrictions."""
+    """Write *count* plain changes and five restrictions; print the times."""
     plain = []
     for number in range(count):
         text = f"workspaces: {{brokers: {{deadline_ms: {20000 + number}}}}}\n"
@@ -60,31 +66,35 @@
     print_times("5 restrictions", strict)
     _, response = processes.call_admin("GET", "/v1/status")
     stalls = [host["stall_ms"] for host in response["hosts"]]
-    print(f"longest loop stall of a gateway: {max(stalls)} ms")
+    print(f"longest event loop stall of a gateway: {max(stalls)} ms")
 
 
 def put_file(processes, text):
-    """Write a file; return the seconds until it is in force everywhere."""
+    """Write a file; return the seconds until it is in force on all hosts.
+
+    Raises:
+        SystemExit: It is refused, or not in force on some host.
+    """
     status, report = processes.call_admin("PUT", "/v1/files/20-x.yaml", text)
     if status != 200 or report["not_in_force"]:
-        raise SystemExit(f"not in force: {report}")
+        raise SystemExit(f"change is not in force on all hosts: {report}")
     return report["seconds"]
 
 
 def print_times(title, times):
-    """Print median and maximum."""
+    """Print the median and maximum of *times*."""
     median = statistics.median(times)
     print(f"{title}: median {median:.3f} s, max {max(times):.3f} s")
 
 
 def store_call_counts(processes):
-    """Return reads and writes so far."""
+    """Return the reads and writes of the key-value store so far."""
     _, response = processes.fetch("GET", f"http://{processes.platform}/counts")
     return response["reads"], response["writes"]
 
 
 def report_idle(processes):
-    """Print the calls a second while nothing happens."""
+    """Print the calls per second of an idle fleet."""
     reads, writes = store_call_counts(processes)
     time.sleep(IDLE_SECONDS)
     more_reads, more_writes = store_call_counts(processes)
@@ -95,7 +105,7 @@
 
 
 def report_keyed(processes, number):
-    """Print the calls a second while keyed single runs arrive."""
+    """Print the calls per second under *number* keyed requests per second."""
     addresses = [row["address"] for row in processes.gateways()]
     times = []
 
@@ -126,7 +136,8 @@
     more_reads, more_writes = store_call_counts(processes)
     done = statuses.count(200)
     print(
-        f"{number} keyed runs a second: {done} of {len(statuses)} answered, "
+        f"{number} keyed requests per second: "
+        f"{done} of {len(statuses)} answered, "
         f"{(more_reads - reads) / elapsed:.0f} reads/s, "
         f"{(more_writes - writes) / elapsed:.0f} writes/s, "
         f"median {statistics.median(times) * 1000:.0f} ms, "
--- a/benchmarks/crashes.py
+++ b/benchmarks/crashes.py
@@ -1,4 +1,4 @@
-"""Measure what it costs to remember requests under which servers end."""
+"""Measure the cost of tracking requests that crash servers."""
 
 from entry_slopes import min_micros
 from twisted.web.http_headers import Headers
@@ -11,18 +11,19 @@
 HOST = "front-dar-kariakoo-1"
 CALLER = "100.64.0.7"
 REQUESTS_PER_CRASH = 60
-"""Requests that were about to begin on a server that ended."""
+"""Requests that were about to start on a server when it crashed."""
 
 SWEEP_ROUNDS = 20
+"""Calls per repeat of the functions that visit all tracked requests."""
 
 
 def instance_id(number):
-    """Return the name of a start of a server."""
+    """Return the ID of a server instance."""
     return f"i-{number:010d}/1786947754617"
 
 
 def make_crashes(count):
-    """Return a host's knowledge of *count* requests, one in 20 blocked."""
+    """Return a tracker of *count* requests, one in 20 of them blocked."""
     crashes = Crashes()
     for number in range(count):
         first = number // REQUESTS_PER_CRASH * 3
@@ -33,7 +34,7 @@
 
 
 def message_size(ends):
-    """Return the bytes of the message on a request with *ends* ends."""
+    """Return the bytes of a message on a request with *ends* crashes."""
     suspect = Suspect("f" * 32)
     for number in range(ends):
         end = End(instance_id(number), 0.0, HOST, CALLER)
@@ -42,7 +43,7 @@
 
 
 def main():
-    """Print all slopes."""
+    """Print the cost of each operation by size."""
     headers = Headers({b"host": [b"a.example"]})
     for size in (0, 2_000, 20_000, 200_000):
         body = b"x" * size
@@ -59,11 +60,11 @@
         judge = min_micros(lambda c=crashes: c.judge(0.1), SWEEP_ROUNDS)
         expire = min_micros(lambda c=crashes: c.expire(1.0), SWEEP_ROUNDS)
         print(
-            f"{count} requests known: verdict {verdict:.1f} us, "
+            f"{count} requests tracked: verdict {verdict:.1f} us, "
             f"judge {judge:.0f} us, expire {expire:.0f} us"
         )
     print(
-        f"message: {message_size(1)} bytes with one end, "
+        f"message: {message_size(1)} bytes with one crash, "
         f"{message_size(3)} with 3"
     )
 
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -1,4 +1,8 @@
-"""Measure how the work of an entry process grows with its surroundings."""
+"""Measure how the work of an entry process grows with its environment.
+
+The sizes that vary are those of the messages, of the server registry and of
+the region.
+"""
 
 import random
 import time
@@ -27,7 +31,16 @@
 
 
 def min_micros(work, rounds=ROUNDS):
-    """Return the least microseconds of one call over several repeats."""
+    """Return the processor time of one call in microseconds.
+
+    Args:
+        work: Callable without arguments.
+        rounds: Calls per repeat.
+
+    Returns:
+        The mean time of a call in the fastest of `REPEATS` repeats, which
+        other processes of the machine disturb least.
+    """
     fastest = float("inf")
     for _ in range(REPEATS):
         started_at = time.process_time()
@@ -38,7 +51,7 @@
 
 
 def heartbeat(placements):
-    """Return a heartbeat that names *placements* requests."""
+    """Return a heartbeat with *placements* open placements."""
     rows = [
         OpenTicket(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
         for n in range(placements)
@@ -63,7 +76,7 @@
 
 
 def show_messages():
-    """Print size and time of the messages."""
+    """Print the size and decoding time of messages."""
     for placements in (0, 10, 50, 200):
         message = heartbeat(placements)
         data = encode_message(message)
@@ -82,7 +95,7 @@
 
 
 def make_placer(servers, placements):
-    """Return a placer that knows *placements* requests on each server."""
+    """Return a placer with *placements* running requests per server."""
     registry = Registry({"a": "north"})
     for n in range(servers):
         registry.put(
@@ -110,7 +123,7 @@
 
 
 def make_ask(number):
-    """Return the ask of one request."""
+    """Return the placement query of one request."""
     parts = ((f"a{number % 4}", 2520), (f"b{number % 100}", 3780))
     return Ask(
         host="h",
@@ -125,7 +138,7 @@
 
 
 def show_placing():
-    """Print the time to place one request."""
+    """Print the processor time to place one request."""
     for servers in (5, 35, 70, 135):
         for placements in (0, 16):
             placer = make_placer(servers, placements)
@@ -135,11 +148,14 @@
                 placer.place(ask, 1.0)
 
             micros = min_micros(work, 200)
-            print(f"place, {servers} servers of {placements}: {micros:.0f} us")
+            print(
+                f"place, {servers} servers with {placements} requests each: "
+                f"{micros:.0f} us"
+            )
 
 
 def show_members():
-    """Print the time to rank the hosts of a region."""
+    """Print the processor time to rank the hosts of a region."""
     for hosts in (3, 20, 90):
         members = Members(make_member(0))
         for n in range(1, hosts):
@@ -151,7 +167,7 @@
 
 
 def make_member(number):
-    """Return one host."""
+    """Return the member entry of one host."""
     return Member(
         name=f"h{number}",
         region="north",
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,4 +1,7 @@
-"""Compare ways to keep limits in tokens over regions, without network."""
+"""Compare algorithms that enforce token limits across regions.
+
+The emulation runs in one process without a network.
+"""
 
 import statistics
 import sys
@@ -8,11 +11,15 @@
 SEEDS = range(1, 6)
 WINDOW_SECONDS = 8.0
 MAX_WINDOW_TOKENS = (66_604.0 * WINDOW_SECONDS + 66_604.0) * 1.1 + 110_000.0
-"""Tokens that may pass in any window."""
+"""Maximum number of tokens that may pass in any window.
+
+It is the rate of 66,604 tokens per second over the window and a burst of one
+second, with a tolerance of 10%, and 110,000 tokens on top.
+"""
 
 
 def main():
-    """Print what each way serves of each pattern, and the fullest window."""
+    """Print the share served and the fullest window by pattern and way."""
     write = sys.stdout.write
     write("| pattern | " + " | ".join(way.name for way in WAYS) + " |\n")
     write("| --- |" + " --- |" * len(WAYS) + "\n")
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,4 +1,4 @@
-"""The least that a proxy can be: the floor that the gateway is held to.
+"""Minimal HTTP proxy, the baseline that the gateway is compared with.
 
 Usage: ``python passthrough.py LISTEN TARGET``, both as ``ip:port``.
 """
@@ -23,12 +23,12 @@
 
 
 class PassThrough(resource.Resource):
-    """Send each request on and its answer back."""
+    """Forward each request to the target and return its response."""
 
     isLeaf = True
 
     def render(self, request):
-        """Pass one request through."""
+        """Forward one request."""
         pending = AGENT.request(
             request.method,
             b"http://" + TARGET.encode() + request.uri,
@@ -44,12 +44,12 @@
         return server.NOT_DONE_YET
 
     def read_response(self, response, request):
-        """Read the answer."""
+        """Set the status of the response and read its body."""
         request.setResponseCode(response.code)
         return readBody(response).addCallback(self.send_response, request)
 
     def send_response(self, body, request):
-        """Send the answer back."""
+        """Send the buffered response body to the caller."""
         request.setHeader(b"content-length", str(len(body)).encode())
         request.write(body)
         request.finish()
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,9 +1,10 @@
-"""Policies of placement, side by side under load and faults.
+"""Compare placement policies under load and faults.
 
-The product's plan runs on a test clock against the stand-in engine's
-model of batching, prompt cache and late reports; the baselines choose
-from the same knowledge. A scenario is a list of engines, a delay for
-each pair of regions and timed switches of the stand-ins.
+The plan of hyssopspring runs on a test clock against the fake engine, which
+models batching, the prefix cache and delayed load reports. The baseline
+policies choose from the same information. All scenarios have the same
+engines and the same delay between any two regions, and differ in the faults
+and changes that they apply at given times.
 Usage: ``python benchmarks/policy.py [--seconds N] [--plot FILE]``.
 """
 
@@ -43,17 +44,34 @@
 BATCH_DEADLINE_SECONDS = 600.0
 CONNECT_TIMEOUT_SECONDS = 0.5
 TARGET_UTILISATION = 0.55
+"""Mean share of all engine slots that the scheduled load occupies."""
+
 INTERACTIVE_SERVICE_SECONDS = 0.45
+"""Time for which an interactive request occupies a slot."""
+
 HOME_ONLY_SHARE = 0.18
+"""Share of requests that may run only in their home region."""
+
 BATCH_SHARE = 0.08
+"""Share of batch requests; all others are interactive."""
+
 TEMPLATES = 40
+"""Number of shared prompt prefixes per region."""
+
 ANSWERED = Answered(200)
 MODEL = Target(TargetKind.MODEL, "m")
 POLICIES = {}
 
 
 def policy(name):
-    """Register a baseline: it orders (region, server) pairs to try."""
+    """Return a decorator that registers a baseline policy.
+
+    A baseline policy returns (region, server) pairs in the order in which
+    they are tried.
+
+    Args:
+        name: Name of the policy in the output.
+    """
 
     def register(choose):
         POLICIES[name] = choose
@@ -63,10 +81,21 @@
 
 
 class SimEngine(FakeEngine):
-    """The stand-in engine without sockets."""
+    """The fake engine without sockets."""
 
     def submit(self, identifier, body, priority, first, done):
-        """Take a request; call *first* and *done* as it goes on."""
+        """Admit a request to the engine.
+
+        Args:
+            identifier: ID of the attempt.
+            body: Decoded body of the request.
+            priority: Priority of the request, as a number.
+            first: Callable for the time of the first output token.
+            done: Callable for the end of the request.
+
+        Returns:
+            The `Job` of the request.
+        """
         job = Job(
             id=identifier,
             request=None,
@@ -80,18 +109,28 @@
         return job
 
     def send(self, job):
-        """Tell of the first token."""
+        """Call `first` of the job after its first output token."""
         if job.made == 1:
             job.first()
 
     def finish(self, job):
-        """Tell of the end."""
+        """Call `ended` of the job."""
         job.ended()
 
 
 @dataclass
 class RequestResult:
-    """One request of a run, and what became of it."""
+    """One request of a simulation and its result.
+
+    Attributes:
+        at: Arrival time.
+        home: Home region of the caller.
+        interactive: Whether it is an interactive rather than a batch request.
+        first: Seconds until the first output token.
+        served: Region of the last attempt that produced a token.
+        attempts: Number of attempts.
+        done: Whether it is answered.
+    """
 
     at: float
     home: str
@@ -104,7 +143,22 @@
 
 @dataclass
 class Simulation:
-    """All engines, and what each region's host knows."""
+    """All engines, and the state of one host in each region.
+
+    Attributes:
+        seed: Seed of the random numbers.
+        policy: Name of the placement policy.
+        clock: Test clock of the simulation.
+        engines: `SimEngine` by name.
+        tables: `ServerTable` by region.
+        centres: `CentreTable` by region.
+        cut: Regions that are disconnected from all others.
+        results: `RequestResult` of each request that arrived.
+        reports: Not used.
+        platform_down: Not used.
+        rate_factor: Factor of the arrival rate.
+        storm: Whether callers retry failed requests.
+    """
 
     seed: int
     policy: str
@@ -145,7 +199,7 @@
         self.repeat(1.0, self.report_loads)
 
     def add_region(self, region, count):
-        """Add the engines of one region and its host's tables."""
+        """Add the engines of one region and the tables of its host."""
         entries = []
         for number in range(count):
             name = f"{region}-{number}"
@@ -171,7 +225,7 @@
         self.centres[region] = CentreTable(region)
 
     def repeat(self, every, call):
-        """Call *call* every so many seconds."""
+        """Call *call* once the clock runs, then every *every* seconds."""
 
         def again():
             call()
@@ -180,11 +234,11 @@
         self.clock.callLater(0, again)
 
     def can_reach(self, one, other):
-        """Whether two regions reach each other."""
+        """Return whether two regions are connected."""
         return one == other or not self.cut & {one, other}
 
     def report_loads(self):
-        """Let engines report, and regions tell each other."""
+        """Apply the load reports of all engines and exchange summaries."""
         now = self.clock.seconds()
         for name, engine in self.engines.items():
             region = name.rsplit("-", 1)[0]
@@ -206,7 +260,7 @@
                 )
 
     def take_report(self, region, name, report, now):
-        """Note one engine's load report at its region's host."""
+        """Apply the load report of one engine at the host of its region."""
         self.tables[region].take_report(
             name,
             LoadReport(
@@ -221,7 +275,11 @@
         )
 
     def schedule_traffic(self, seconds):
-        """Schedule the arrivals of *seconds*."""
+        """Schedule the first arrival of each region.
+
+        Args:
+            seconds: Time for which requests arrive.
+        """
         slots = {region: count * SLOTS for region, count in REGIONS.items()}
         mean_rate = (
             sum(slots.values())
@@ -233,7 +291,11 @@
             self.schedule_arrival(region, mean_rate * share / 1.5, seconds)
 
     def schedule_arrival(self, region, rate, seconds):
-        """Schedule the next arrival of a region."""
+        """Schedule the next arrival of a region until *seconds* have passed.
+
+        The arrival rate follows a sine wave with a different phase in each
+        region.
+        """
         now = self.clock.seconds()
         if now >= seconds:
             return
@@ -244,7 +306,7 @@
         self.clock.callLater(pause, self.handle_arrival, region, rate, seconds)
 
     def handle_arrival(self, region, rate, seconds):
-        """Send one request and schedule the next."""
+        """Start the request of this arrival and schedule the next one."""
         self.schedule_arrival(region, rate, seconds)
         interactive = self.rng.random() >= BATCH_SHARE
         template = int(self.rng.paretovariate(1.2)) % TEMPLATES
@@ -266,7 +328,10 @@
         ).next()
 
     def make_request(self, result, body):
-        """Return the `Request` of one arrival."""
+        """Return the `Request` of one arrival.
+
+        A random share of them may run in their home region only.
+        """
         bound = self.rng.random() < HOME_ONLY_SHARE
         regions = {result.home} if bound else set(REGIONS)
         deadline = (
@@ -288,7 +353,7 @@
         )
 
     def make_plan(self, request, region):
-        """Return the product's plan for a request at a region's host."""
+        """Return the plan of hyssopspring for a request at a host."""
         return Plan(
             request,
             configuration=self.configuration,
@@ -300,7 +365,14 @@
 
 
 class RequestSimulation:
-    """Carry out one request by the policy of the run."""
+    """Simulate the attempts of one request under the configured policy.
+
+    Args:
+        simulation: The `Simulation`.
+        result: `RequestResult` that is updated.
+        body: Decoded body of the request.
+        request: The `Request`.
+    """
 
     def __init__(self, simulation, result, body, request):
         self.simulation = simulation
@@ -313,7 +385,7 @@
             self.plan = simulation.make_plan(request, result.home)
 
     def next(self):
-        """Make the next attempt, or give up."""
+        """Start the next attempt, or end the request if there is none."""
         now = self.simulation.clock.seconds()
         if self.plan is not NOTHING:
             step = self.plan.next(now)
@@ -333,7 +405,7 @@
         self.attempt(*self.queue.pop(0))
 
     def retry_if_storm(self):
-        """Let the caller come back, if the scenario has it so."""
+        """Schedule a retry by the caller in a retry storm scenario."""
         if self.simulation.storm and self.result.attempts < 12:
             self.queue = NOTHING
             if self.plan is not NOTHING:
@@ -343,7 +415,7 @@
             self.simulation.clock.callLater(0.2, self.next)
 
     def forward(self, region):
-        """Have another region's host choose a server of its own."""
+        """Let a host of another region choose one of its servers."""
         simulation = self.simulation
         simulation.centres[self.result.home].begin(region)
         name = NOTHING
@@ -374,7 +446,7 @@
         self.attempt(region, name, forwarded=True)
 
     def attempt(self, region, name, *, forwarded=False):
-        """Send the request to a server, over the network if it is far."""
+        """Send the request to a server, after a delay if it is remote."""
         simulation = self.simulation
         self.result.attempts += 1
         if not simulation.can_reach(self.result.home, region):
@@ -405,7 +477,7 @@
         )
 
     def submit_to_engine(self, region, name, one_way_delay, began):
-        """Hand the request to the engine."""
+        """Submit the request to the engine and start its deadline timer."""
         simulation = self.simulation
         state = {"first": NOTHING, "over": False}
 
@@ -450,7 +522,7 @@
         )
 
     def release(self, region, name, outcome, first, began):
-        """Count the end of an attempt at its server."""
+        """Record the end of an attempt and the new load of its server."""
         simulation = self.simulation
         simulation.in_flight[name] -= 1
         wait = making = NOTHING
@@ -472,7 +544,7 @@
         )
 
     def handle_outcome(self, region, name, outcome):
-        """Note the outcome and go on if there is none yet."""
+        """Record the outcome of an attempt; try the next one if it failed."""
         if self.plan is not NOTHING:
             self.plan.record(outcome)
         if isinstance(outcome, Answered):
@@ -482,7 +554,7 @@
 
 
 def candidate_pairs(simulation, request):
-    """Return all permitted (region, server) pairs."""
+    """Return the (region, server) pairs that the residency permits."""
     return [
         (name.rsplit("-", 1)[0], name)
         for name in simulation.engines
@@ -491,7 +563,7 @@
 
 
 def reported_load(simulation, place):
-    """Return the known load of a server."""
+    """Return the load of a server according to its last report."""
     region, name = place
     return (
         simulation.tables[region]
@@ -502,7 +574,7 @@
 
 @policy("round robin")
 def round_robin(simulation, result, request):
-    """Take all servers in turn."""
+    """Try the servers in rotation."""
     found = candidate_pairs(simulation, request)
     start = len(simulation.results) % len(found)
     return found[start:] + found[:start]
@@ -510,7 +582,7 @@
 
 @policy("least in flight")
 def least_in_flight(simulation, result, request):
-    """Take the server with the fewest own requests, anywhere."""
+    """Prefer the server with the fewest requests in flight, in any region."""
     found = candidate_pairs(simulation, request)
     simulation.rng.shuffle(found)
     return sorted(found, key=lambda p: simulation.in_flight.get(p[1], 0))
@@ -518,7 +590,7 @@
 
 @policy("two choices")
 def two_choices(simulation, result, request):
-    """Take the less loaded of two drawn at random, anywhere."""
+    """Prefer the less loaded of two random servers, in any region."""
     found = candidate_pairs(simulation, request)
     drawn = [simulation.rng.choice(found) for _ in range(2)]
     return sorted(drawn, key=lambda p: reported_load(simulation, p))
@@ -526,7 +598,7 @@
 
 @policy("home only")
 def home_only(simulation, result, request):
-    """Take the least loaded server at home."""
+    """Prefer the least loaded server of the home region."""
     found = [
         p for p in candidate_pairs(simulation, request) if p[0] == result.home
     ]
@@ -535,7 +607,7 @@
 
 @policy("nearest with spare")
 def nearest_with_spare(simulation, result, request):
-    """Take home while it has a free slot, else who has the most."""
+    """Prefer the home region while it has a free slot, then least load."""
     found = candidate_pairs(simulation, request)
     return sorted(
         found,
@@ -551,7 +623,7 @@
 
 
 def remove_half_of_dar(simulation):
-    """Take half of the largest region's engines away."""
+    """Remove half of the engines of the largest region."""
     for number in range(5):
         simulation.engines[f"dar-{number}"].faults.slow = 1000.0
         del simulation.tables["dar"].servers[f"dar-{number}"]
@@ -559,7 +631,7 @@
 
 
 def set_engine_faults(**faults):
-    """Return a switch that sets faults of all engines."""
+    """Return a function that sets faults of all engines."""
 
     def switch(simulation):
         for engine in simulation.engines.values():
@@ -570,12 +642,12 @@
 
 
 def slow_server(simulation):
-    """Make one engine ten times slower than it reports."""
+    """Make one engine ten times slower without a change in its reports."""
     simulation.engines["dar-3"].faults.slow = 10.0
 
 
 def set_simulation(**values):
-    """Return a switch that sets attributes of the world."""
+    """Return a function that sets attributes of the simulation."""
 
     def switch(simulation):
         for name, value in values.items():
@@ -585,7 +657,7 @@
 
 
 def reconnect_with_cold_caches(simulation):
-    """Heal the cut region, with cold caches."""
+    """Reconnect the disconnected region with empty prefix caches."""
     simulation.cut = set()
     for name, engine in simulation.engines.items():
         if name.startswith("arusha"):
@@ -610,7 +682,17 @@
 
 
 def run(name, scenario, seconds, seed):
-    """Return the figures of one policy in one scenario."""
+    """Simulate one policy in one scenario.
+
+    Args:
+        name: Name of the policy.
+        scenario: List of (fraction of the run, function to call) pairs.
+        seconds: Time for which requests arrive.
+        seed: Seed of the random numbers.
+
+    Returns:
+        The measurements by name, as `summarize` returns them.
+    """
     simulation = Simulation(seed, name)
     for part, switch in scenario:
         simulation.clock.callLater(part * seconds, switch, simulation)
@@ -623,7 +705,13 @@
 
 
 def summarize(simulation, busy, seconds):
-    """Return what users measure."""
+    """Return the measurements of a simulation by name.
+
+    ``p50``, ``p95`` and ``p99`` are percentiles of the time to first token
+    of interactive requests, and ``good`` is the share of them within the
+    deadline. ``cost`` is engine time per answered request, ``away`` the
+    share served in another region, ``tries`` the mean number of attempts.
+    """
     interactive = [
         result for result in simulation.results if result.interactive
     ]
@@ -650,7 +738,7 @@
 
 
 def recovery(interactive, seconds):
-    """Return the seconds after 60% of the run until goodput is back."""
+    """Return the seconds from 60% of the run to its last late request."""
     bad = [
         result.at - seconds * 0.6
         for result in interactive
@@ -663,16 +751,20 @@
 @click.command()
 @click.option("--seconds", default=60.0, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--policy", "chosen", help="Run only this policy.")
-@click.option("--scenario", "only", help="Run only this scenario.")
-@click.option("--plot", type=click.Path(), help="Draw into this PNG file.")
+@click.option("--policy", "chosen", help="Run only the policy with this name.")
+@click.option(
+    "--scenario", "only", help="Run only the scenario with this name."
+)
+@click.option(
+    "--plot", type=click.Path(), help="Plot the results to this PNG file."
+)
 def main(seconds, seed, chosen, only, plot):
-    """Print a table of all policies in all scenarios."""
+    """Compare all policies in all scenarios."""
     found = {}
     for title, scenario in SCENARIOS.items():
         if only and title != only:
             continue
-        print(f"{title} (seconds; p50 p95 p99 of quick first tokens)")
+        print(f"{title} (seconds; p50 p95 p99 of interactive first tokens)")
         for name in POLICIES:
             if chosen and name != chosen:
                 continue
@@ -685,7 +777,7 @@
 
 
 def draw(found, path):
-    """Draw the 99th percentile of each policy and scenario."""
+    """Plot the 99th percentile by policy and scenario."""
     from hyssopspring.plots import load_pyplot
 
     pyplot = load_pyplot()
@@ -700,7 +792,7 @@
             label=name,
         )
     axes.set_xticks(range(len(titles)), titles, rotation=15)
-    axes.set_ylabel("p99 of quick first tokens, s (cut at 20)")
+    axes.set_ylabel("p99 of interactive first tokens, s (capped at 20)")
     axes.legend(fontsize="x-small")
     figure.savefig(path, dpi=120, bbox_inches="tight")
     pyplot.close(figure)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,7 +1,8 @@
-"""Gateway beside a bare pass-through, in one run.
+"""Compare the throughput of the gateway with that of a minimal proxy.
 
-Each is asked by the same closed-loop callers in turn, whole and
-streamed, several rounds; the table gives medians and their ratios.
+Closed-loop callers send buffered and streamed requests to each of them and
+directly to an engine, one after the other in several rounds. The tables give
+the medians and the ratio of gateway and proxy.
 Usage: ``python benchmarks/throughput.py``.
 """
 
@@ -40,7 +41,17 @@
 
 
 class ClosedLoopCaller(threading.Thread):
-    """One closed-loop caller."""
+    """Closed-loop caller, which sends a request after each response.
+
+    Args:
+        address: Address of the server.
+        body: Body of each request.
+        until: Monotonic time at which it stops.
+
+    Attributes:
+        times: Seconds of each request.
+        events: Number of stream events received.
+    """
 
     def __init__(self, address, body, until):
         super().__init__()
@@ -51,7 +62,7 @@
         self.events = 0
 
     def run(self):
-        """Ask until the time is over."""
+        """Send requests until the end time."""
         headers = {
             "Authorization": "Bearer brokers-key",
             "X-Request-Id": "bench",
@@ -64,23 +75,31 @@
             response = self.connection.getresponse()
             body = response.read()
             if response.status != 200:
-                raise SystemExit(f"status {response.status}: {body[:200]!r}")
+                raise SystemExit(
+                    f"request failed with status {response.status}: "
+                    f"{body[:200]!r}"
+                )
             self.times.append(time.perf_counter() - started_at)
             self.events += body.count(b"data: {")
 
 
 def processor_seconds(pid):
-    """Return the processor time that a process has used."""
+    """Return the processor time of a process in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().split()
     return (int(fields[13]) + int(fields[14])) / os.sysconf("SC_CLK_TCK")
 
 
 def measure(address, pid, body):
-    """Measure one place.
+    """Measure one server.
+
+    Args:
+        address: Address of the server.
+        pid: Process ID of the server.
+        body: Body of each request.
 
     Returns:
-        Requests a second, requests and events per second of processor
-        time of the process, p50 and p99 in milliseconds.
+        Requests per second, requests and events per second of processor
+        time of the server, p50 and p99 in milliseconds.
     """
     used = processor_seconds(pid)
     until = time.monotonic() + MEASURE_SECONDS
@@ -101,7 +120,7 @@
 
 
 def resident_megabytes(pid):
-    """Return the resident memory of a process in MB."""
+    """Return the resident set size of a process in MB."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -109,7 +128,7 @@
 
 
 def main():
-    """Print the table."""
+    """Start the processes, measure and print the tables."""
     with tempfile.TemporaryDirectory() as directory:
         processes = Processes(TOPOLOGY, directory)
         pass_through = None
@@ -137,7 +156,7 @@
 
 
 def report(processes, pass_through, pass_through_pid, engine):
-    """Measure all in turn and print."""
+    """Measure all servers in turn and print the tables."""
     gateway = processes.gateways()[0]
     pid = processes.running[gateway["name"]].pid
     idle = resident_megabytes(pid)
