--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -369,25 +369,25 @@
     )
     fleet = Fleet(reactor, shape)
     await fleet.start()
-    status, answer = await fleet.put(
+    status, response = await fleet.put(
         "10-base.yaml", configuration_text(names, "key")
     )
     if status != 200:
-        raise SystemExit(f"configuration was refused: {answer}")
+        raise SystemExit(f"configuration was refused: {response}")
     await task.deferLater(reactor, 2.0)
-    bus = [gateway.bus for gateway in fleet.gateways.values()]
-    sent = sum(one.bytes_sent for one in bus)
-    received = sum(one.bytes_received for one in bus)
+    buses = [gateway.bus for gateway in fleet.gateways.values()]
+    sent = sum(bus.bytes_sent for bus in buses)
+    received = sum(bus.bytes_received for bus in buses)
     polls = sum(g.membership.polls for g in fleet.gateways.values())
     reads = fleet.platform.store.reads
     used = time.process_time()
     await task.deferLater(reactor, MEASURE_SECONDS)
     figures = {
         "cpu": (time.process_time() - used) / MEASURE_SECONDS / gateways * 100,
-        "sent": (sum(one.bytes_sent for one in bus) - sent)
+        "sent": (sum(bus.bytes_sent for bus in buses) - sent)
         / MEASURE_SECONDS
         / gateways,
-        "heard": (sum(one.bytes_received for one in bus) - received)
+        "heard": (sum(bus.bytes_received for bus in buses) - received)
         / MEASURE_SECONDS
         / gateways,
         "polls": (
@@ -417,13 +417,13 @@
 
 async def run():
     """Measure all costs and print the estimate for the planned size."""
-    beat = measure_heartbeats()
+    heartbeat_lines = measure_heartbeats()
     summary = measure_summaries()
     table = measure_table()
     configuration = measure_configuration()
     claims = measure_claims()
     await measure_fleets()
-    print_estimate(beat, summary, table, configuration, claims)
+    print_estimate(heartbeat_lines, summary, table, configuration, claims)
 
 
 def value_at(line, size):
@@ -431,13 +431,15 @@
     return line[0] + line[1] * size
 
 
-def print_estimate(beat, summary, table, configuration, claims):
+def print_estimate(heartbeat_lines, summary, table, configuration, claims):
     """Print the cost of each mechanism at the planned size."""
     hosts = GATEWAYS / DATA_CENTRES
     servers = SERVERS / DATA_CENTRES
     own = servers / hosts
     peers = hosts - 1
-    size, send_us, receive_us = (value_at(line, own) for line in beat)
+    size, send_us, receive_us = (
+        value_at(line, own) for line in heartbeat_lines
+    )
     print(
         f"--- {GATEWAYS} gateways, {DATA_CENTRES} data centres, "
         f"{SERVERS} backend servers"
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -116,13 +116,13 @@
         lambda now: {"north"},
     )
     for n in range(servers * placements):
-        placer.place(make_ask(n), 0.0)
+        placer.place(make_query(n), 0.0)
     for key in list(placer.tickets):
         placer.note_start(*key, 0.1, 0.1)
     return placer
 
 
-def make_ask(number):
+def make_query(number):
     """Return the placement query of one request."""
     parts = ((f"a{number % 4}", 2520), (f"b{number % 100}", 3780))
     return Ask(
@@ -142,10 +142,10 @@
     for servers in (5, 35, 70, 135):
         for placements in (0, 16):
             placer = make_placer(servers, placements)
-            ask = make_ask(1_000_000)
+            query = make_query(1_000_000)
 
-            def work(placer=placer, ask=ask):
-                placer.place(ask, 1.0)
+            def work(placer=placer, query=query):
+                placer.place(query, 1.0)
 
             micros = min_micros(work, 200)
             print(
--- a/src/hyssopspring/ctl.py
+++ b/src/hyssopspring/ctl.py
@@ -356,8 +356,8 @@
     hosts = ", ".join(response["in_force"])
     click.echo(f"in force after {response['seconds']} s on {hosts}")
     if response["not_in_force"]:
-        silent = ", ".join(response["not_in_force"])
-        click.echo(f"not yet in force on {silent}", err=True)
+        pending_hosts = ", ".join(response["not_in_force"])
+        click.echo(f"not yet in force on {pending_hosts}", err=True)
 
 
 def raise_unless_ok(status, response):
--- a/src/hyssopspring/load.py
+++ b/src/hyssopspring/load.py
@@ -66,7 +66,7 @@
     Attributes:
         outcomes: Number of requests by outcome.
         histograms: Histogram in microseconds by kind of time.
-        stream_events: Number of stream events received, one per token.
+        stream_events: Number of stream events received.
         max_send_delay: Longest delay of a request behind its scheduled
             time, in seconds.
     """
