--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,4 +1,7 @@
-"""Emulate loads with each mechanism of the policy switched off in turn."""
+"""Emulate loads with each mechanism of the policy disabled in turn.
+
+Usage: ``python benchmarks/ablation.py [LOAD ...]``.
+"""
 
 import dataclasses
 import sys
@@ -10,23 +13,34 @@
 SEEDS = (1, 2, 3)
 
 
-def share(shape, off):
-    """Return the mean share of requests on time over the seeds."""
-    played = dataclasses.replace(shape, off=off)
-    return sum(emulate(played, seed).share() for seed in SEEDS) / len(SEEDS)
+def mean_on_time_share(shape, disabled):
+    """Return the share of requests served on time, averaged over the seeds.
+
+    Args:
+        shape: The emulated load.
+        disabled: Frozen set of the disabled mechanisms.
+    """
+    changed_shape = dataclasses.replace(shape, off=disabled)
+    return sum(emulate(changed_shape, seed).share() for seed in SEEDS) / len(
+        SEEDS
+    )
 
 
 def main(names):
-    """Print a row for each mechanism, and the share on time by load."""
+    """Print the share on time by load, with one row per mechanism."""
     chosen = {name: LOADS[name] for name in names or LOADS}
     print("without".ljust(12), *(name.rjust(14) for name in chosen))
-    rows = [frozenset(), *(frozenset({one}) for one in Mechanism)]
-    for off in rows:
-        label = ",".join(one.label for one in off) or "nothing"
-        shares = [share(shape, off) for shape in chosen.values()]
+    rows = [frozenset(), *(frozenset({mechanism}) for mechanism in Mechanism)]
+    for disabled in rows:
+        label = (
+            ",".join(mechanism.label for mechanism in disabled) or "nothing"
+        )
+        shares = [
+            mean_on_time_share(shape, disabled) for shape in chosen.values()
+        ]
         print(
             label.ljust(12),
-            *(f"{one:.3f}".rjust(14) for one in shares),
+            *(f"{share:.3f}".rjust(14) for share in shares),
             flush=True,
         )
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,8 @@
-"""Slopes of what each role costs, and the plan's size worked out.
+"""Measure how the cost of each role grows, and extrapolate to full size.
 
-Usage: ``python benchmarks/capacity.py``. Each slope is measured over at
-least three sizes in this run; the last table multiplies it by the size.
+Usage: ``python benchmarks/capacity.py``. Each cost is measured for at least
+three sizes and fitted by a line. The last table evaluates these lines at the
+size of the planned deployment, which the constants below give.
 """
 
 import gc
@@ -45,21 +46,23 @@
     key_digest,
 )
 
-DAEMONS = 330
-CENTRES = 51
+GATEWAYS = 330
+DATA_CENTRES = 51
 SERVERS = 2300
 MODELS = 34
 WORKSPACES = 330
-CHANGES_A_DAY = 1300
-KEYED_A_SECOND = 120
-SECONDS_A_DAY = 86_400
+CHANGES_PER_DAY = 1300
+KEYED_REQUESTS_PER_SECOND = 120
+SECONDS_PER_DAY = 86_400
 RETENTION_HOURS = 3
-WINDOW = 5.0
+MEASURE_SECONDS = 5.0
+"""Time for which an idle fleet is measured."""
+
 SIGNER = Signer("capacity")
 
 
-def timed(call, times):
-    """Return microseconds of processor time of one call."""
+def time_call(call, times):
+    """Return the mean processor time of one call in microseconds."""
     began = time.process_time()
     for _ in range(times):
         call()
@@ -76,8 +79,8 @@
     return mean_y - rise / run * mean_x, rise / run
 
 
-def show(title, unit, points):
-    """Print one measured series with its slope; return the line."""
+def print_series(title, unit, points):
+    """Print a series of measurements and its fit; return the fitted line."""
     line = slope(points)
     shown = ", ".join(f"{x:g}: {y:.1f}" for x, y in points)
     print(f"{title}: {shown}  -> {line[0]:.1f} + {line[1]:.4f} each, {unit}")
@@ -85,7 +88,7 @@
 
 
 def make_servers(count):
-    """Return a table with reports of *count* servers."""
+    """Return a server table with a load report of each of *count* servers."""
     table = ServerTable("c")
     models = [Target(TargetKind.MODEL, f"model-{n}") for n in range(MODELS)]
     table.replace(
@@ -104,7 +107,7 @@
 
 
 def report(sequence):
-    """Return a load report."""
+    """Return a load report with the given sequence number."""
     return LoadReport(
         incarnation=1,
         sequence=sequence,
@@ -117,7 +120,7 @@
 
 
 def heartbeat(servers):
-    """Return a heartbeat with the loads of *servers* servers."""
+    """Return a heartbeat with the load of *servers* backend servers."""
     loads = [
         ServerLoad(2**31 + n, 2**31 + n, 99999, 3, 1, 8, False)
         for n in range(servers)
@@ -136,39 +139,42 @@
 
 
 def measure_heartbeats():
-    """Measure bytes and processor time of heartbeats."""
-    sizes, sending, hearing = [], [], []
+    """Measure the size and processor time of heartbeats."""
+    sizes, sending, receiving = [], [], []
     for servers in (1, 7, 45, 450):
         message = heartbeat(servers)
         data = ENCODER.encode(message)
         signature = SIGNER.sign(b"b:c", data)
         sizes.append((servers, len(data) + len(signature) + 10))
-        sending.append((servers, timed(lambda m=message: send(m), 300)))
-        hearing.append(
-            (servers, timed(lambda d=data, s=signature: hear(d, s), 300))
+        sending.append((servers, time_call(lambda m=message: send(m), 300)))
+        receiving.append(
+            (
+                servers,
+                time_call(lambda d=data, s=signature: receive(d, s), 300),
+            )
         )
     return (
-        show("heartbeat by loads in it", "bytes", sizes),
-        show("  send", "us", sending),
-        show("  hear", "us", hearing),
+        print_series("heartbeat by loads in it", "bytes", sizes),
+        print_series("  send", "us", sending),
+        print_series("  receive", "us", receiving),
     )
 
 
 def send(message):
-    """Encode and sign a message as the bus does."""
+    """Encode and sign a message, as the message bus does."""
     data = ENCODER.encode(message)
     return SIGNER.sign(b"b:c", data)
 
 
-def hear(data, signature):
-    """Check and decode a message as the bus does."""
+def receive(data, signature):
+    """Verify and decode a message, as the message bus does."""
     assert SIGNER.verify(signature, b"b:c", data)
     return decode_message(data)
 
 
 def measure_summaries():
-    """Measure bytes and processor time of summaries."""
-    sizes, hearing = [], []
+    """Measure the size and processor time of data centre summaries."""
+    sizes, receiving = [], []
     for models in (4, 34, 340):
         table = ServerTable("c")
         table.replace(
@@ -199,25 +205,25 @@
         signature = SIGNER.sign(b"b:c", data)
         centres = CentreTable("other")
         sizes.append((models, len(data) + 26))
-        hearing.append(
+        receiving.append(
             (
                 models,
-                timed(
+                time_call(
                     lambda d=data, s=signature, c=centres: c.apply_summary(
-                        centre_summary(hear(d, s), 0.0)
+                        centre_summary(receive(d, s), 0.0)
                     ),
                     200,
                 ),
             )
         )
     return (
-        show("summary by models", "bytes", sizes),
-        show("  hear", "us", hearing),
+        print_series("summary by models", "bytes", sizes),
+        print_series("  receive", "us", receiving),
     )
 
 
 def measure_table():
-    """Measure a report's cost in the server table, and its memory."""
+    """Measure the memory of the server table and the cost of a report."""
     taking, memory = [], []
     for servers in (5, 50, 500):
         gc.collect()
@@ -230,7 +236,7 @@
         taking.append(
             (
                 servers,
-                timed(
+                time_call(
                     lambda t=table, n=names, c=counter: t.apply_report(
                         n[0], report(next(c))
                     ),
@@ -239,13 +245,13 @@
             )
         )
     return (
-        show("server table by servers", "KB", memory),
-        show("  take one report", "us", taking),
+        print_series("server table by servers", "KB", memory),
+        print_series("  apply one report", "us", taking),
     )
 
 
 def make_files(count):
-    """Return a folder of *count* files, a workspace each."""
+    """Return a folder of *count* files with one workspace each."""
     regions = ", ".join(f"region-{n}: {{}}" for n in range(17))
     files = {
         "00-base.yaml": RawFile(
@@ -268,8 +274,8 @@
 
 
 def measure_configuration():
-    """Measure the accepted value and the judging by files."""
-    sizes, judging, decoding, memory = [], [], [], []
+    """Measure the accepted configuration by its number of files."""
+    sizes, validating, decoding, memory = [], [], [], []
     for count in (10, 100, 330, 1000):
         folder = make_files(count)
         accepted = (
@@ -280,10 +286,10 @@
         changed = dict(folder)
         name = sorted(folder)[-1]
         changed[name] = RawFile(folder[name].content + "#", count + 9)
-        judging.append(
+        validating.append(
             (
                 count,
-                timed(
+                time_call(
                     lambda a=accepted, c=changed, n=count: FolderValidator(
                         a
                     ).validate(c, n + 9),
@@ -293,7 +299,7 @@
             )
         )
         decoding.append(
-            (count, timed(lambda d=data: decode_accepted(d), 5) / 1000)
+            (count, time_call(lambda d=data: decode_accepted(d), 5) / 1000)
         )
         gc.collect()
         tracemalloc.start()
@@ -302,17 +308,17 @@
         tracemalloc.stop()
         del kept
     return (
-        show("accepted value by files", "KB", sizes),
-        show("  judge one change", "ms", judging),
-        show("  decode at a gateway", "ms", decoding),
-        show("  memory at a gateway", "KB", memory),
+        print_series("accepted configuration by files", "KB", sizes),
+        print_series("  validate one change", "ms", validating),
+        print_series("  decode at a gateway", "ms", decoding),
+        print_series("  memory at a gateway", "KB", memory),
     )
 
 
 def measure_claims():
-    """Measure bytes, memory and folding of claims."""
+    """Measure the size, memory and processing time of claims."""
     rng = random.Random(1)
-    memory, folding, sizes = [], [], []
+    memory, applying, sizes = [], [], []
     for count in (1_000, 10_000, 50_000):
         records = [
             Record(
@@ -334,19 +340,30 @@
         began = time.process_time()
         for record in records:
             fresh.apply(record)
-        folding.append((count, (time.process_time() - began) * 1000))
+        applying.append((count, (time.process_time() - began) * 1000))
         sizes.append(
             (count, len(encode_segment(Segment(records=records))) / 1024)
         )
     return (
-        show("claim index by keys", "KB beyond the records", memory),
-        show("  fold", "ms", folding),
-        show("  stored", "KB", sizes),
+        print_series(
+            "claim index by keys", "KB in addition to the records", memory
+        ),
+        print_series("  apply", "ms", applying),
+        print_series("  stored", "KB", sizes),
     )
 
 
 async def measure_fleet(gateways, regions):
-    """Return per-daemon figures of a fleet on this reactor."""
+    """Measure an idle fleet that runs on the reactor of this process.
+
+    Args:
+        gateways: Number of gateways in all regions.
+        regions: Number of regions.
+
+    Returns:
+        Dictionary of processor time, traffic and polls per gateway, and of
+        the reads of the key-value store in total.
+    """
     names = tuple(f"region{n}" for n in range(regions))
     shape = Shape(
         regions=names,
@@ -356,118 +373,128 @@
     )
     fleet = Fleet(reactor, shape)
     await fleet.start()
-    status, answer = await fleet.put(
+    status, response = await fleet.put(
         "10-base.yaml", configuration_text(names, "key")
     )
     if status != 200:
-        raise SystemExit(f"refused: {answer}")
+        raise SystemExit(f"configuration was refused: {response}")
     await task.deferLater(reactor, 2.0)
-    bus = [gateway.bus for gateway in fleet.gateways.values()]
-    sent = sum(one.bytes_sent for one in bus)
-    heard = sum(one.bytes_received for one in bus)
+    buses = [gateway.bus for gateway in fleet.gateways.values()]
+    sent = sum(bus.bytes_sent for bus in buses)
+    received = sum(bus.bytes_received for bus in buses)
     polls = sum(g.membership.polls for g in fleet.gateways.values())
     reads = fleet.platform.store.reads
     used = time.process_time()
-    await task.deferLater(reactor, WINDOW)
+    await task.deferLater(reactor, MEASURE_SECONDS)
     figures = {
-        "cpu": (time.process_time() - used) / WINDOW / gateways * 100,
-        "sent": (sum(one.bytes_sent for one in bus) - sent)
-        / WINDOW
+        "cpu": (time.process_time() - used) / MEASURE_SECONDS / gateways * 100,
+        "sent": (sum(bus.bytes_sent for bus in buses) - sent)
+        / MEASURE_SECONDS
         / gateways,
-        "heard": (sum(one.bytes_received for one in bus) - heard)
-        / WINDOW
+        "heard": (sum(bus.bytes_received for bus in buses) - received)
+        / MEASURE_SECONDS
         / gateways,
         "polls": (
             sum(g.membership.polls for g in fleet.gateways.values()) - polls
         )
-        / WINDOW
+        / MEASURE_SECONDS
         / gateways,
-        "reads": (fleet.platform.store.reads - reads) / WINDOW,
+        "reads": (fleet.platform.store.reads - reads) / MEASURE_SECONDS,
     }
     await fleet.stop()
     return figures
 
 
 async def measure_fleets():
-    """Measure fleets of three sizes, idle."""
+    """Measure idle fleets of three sizes."""
     found = []
     for gateways, regions in ((2, 2), (8, 2), (32, 4)):
         figures = await measure_fleet(gateways, regions)
         found.append((gateways, figures))
         shown = ", ".join(f"{k} {v:.2f}" for k, v in figures.items())
         print(f"fleet of {gateways} gateways in {regions} regions: {shown}")
-    print("  (cpu in % of a core a daemon, stand-ins and administration")
-    print("   included; bytes and polls a second a daemon; reads of the")
-    print("   key-value service a second in all)")
+    print("  (cpu in % of a core per gateway, fakes and the admin server")
+    print("   included; bytes and polls per second and gateway; reads of")
+    print("   the key-value store per second in total)")
     return found
 
 
 async def run():
-    """Measure everything and print the plan's size."""
-    beat = measure_heartbeats()
+    """Measure all costs and print the estimate for the planned size."""
+    heartbeat_lines = measure_heartbeats()
     summary = measure_summaries()
     table = measure_table()
     configuration = measure_configuration()
     claims = measure_claims()
     await measure_fleets()
-    print_plan(beat, summary, table, configuration, claims)
+    print_estimate(heartbeat_lines, summary, table, configuration, claims)
 
 
-def at(line, size):
-    """Return what a line gives at *size*."""
+def value_at(line, size):
+    """Evaluate a fitted line at *size*."""
     return line[0] + line[1] * size
 
 
-def print_plan(beat, summary, table, configuration, claims):
-    """Print what each mechanism costs at the plan's size."""
-    hosts = DAEMONS / CENTRES
-    servers = SERVERS / CENTRES
+def print_estimate(heartbeat_lines, summary, table, configuration, claims):
+    """Print the cost of each mechanism at the planned size."""
+    hosts = GATEWAYS / DATA_CENTRES
+    servers = SERVERS / DATA_CENTRES
     own = servers / hosts
     peers = hosts - 1
-    size, send_us, hear_us = (at(line, own) for line in beat)
-    print(f"--- at {DAEMONS} daemons, {CENTRES} data centres, {SERVERS}")
+    size, send_us, receive_us = (
+        value_at(line, own) for line in heartbeat_lines
+    )
+    print(
+        f"--- {GATEWAYS} gateways, {DATA_CENTRES} data centres, "
+        f"{SERVERS} backend servers"
+    )
     print(
-        f"heartbeats: {size * peers:.0f} bytes/s out and as many in, "
-        f"{(send_us + peers * hear_us) / 1e4:.4f}% of a core a daemon"
+        f"heartbeats: {size * peers:.0f} bytes/s sent and received each, "
+        f"{(send_us + peers * receive_us) / 1e4:.4f}% of a core per "
+        "gateway"
     )
-    reports = servers * at(table[1], servers)
-    print(f"load reports taken: {reports / 1e4:.4f}% of a core a daemon")
-    print(f"load polls: {own / 2:.1f} a second a daemon if all are idle")
-    size = at(summary[0], MODELS)
-    listeners = DAEMONS - hosts
+    reports = servers * value_at(table[1], servers)
+    print(f"load reports: {reports / 1e4:.4f}% of a core per gateway")
+    print(f"load polls: {own / 2:.1f} per second and gateway if all are idle")
+    size = value_at(summary[0], MODELS)
+    listeners = GATEWAYS - hosts
     every = max(1.0, size * listeners / 1000)
     print(
         f"summaries: {size:.0f} bytes to {listeners:.0f} listeners, one "
-        f"every {every:.0f} s at the pace of 1,000 bytes/s; "
-        f"{CENTRES * at(summary[1], MODELS) / every / 1e4:.4f}% of a core "
-        "to hear all"
+        f"every {every:.0f} s at the rate limit of 1,000 bytes/s; "
+        f"{DATA_CENTRES * value_at(summary[1], MODELS) / every / 1e4:.4f}% "
+        "of a core to receive all"
     )
-    value = at(configuration[0], WORKSPACES)
-    changes = CHANGES_A_DAY / SECONDS_A_DAY
+    value = value_at(configuration[0], WORKSPACES)
+    changes = CHANGES_PER_DAY / SECONDS_PER_DAY
     print(
-        f"configuration: value of {value:.0f} KB, "
-        f"{value * 1024 * changes:.0f} bytes/s in on average, "
-        f"{at(configuration[2], WORKSPACES) * changes / 10:.4f}% of a core, "
-        f"{at(configuration[3], WORKSPACES):.0f} KB of memory a daemon; "
-        f"judging {at(configuration[1], WORKSPACES):.0f} ms a change"
+        f"configuration: size of {value:.0f} KB, "
+        f"{value * 1024 * changes:.0f} bytes/s received on average, "
+        f"{value_at(configuration[2], WORKSPACES) * changes / 10:.4f}% "
+        "of a core, "
+        f"{value_at(configuration[3], WORKSPACES):.0f} KB of memory per "
+        "gateway; "
+        f"validation takes {value_at(configuration[1], WORKSPACES):.0f} ms "
+        "per change"
     )
-    keys = KEYED_A_SECOND * RETENTION_HOURS * 3600
+    keys = KEYED_REQUESTS_PER_SECOND * RETENTION_HOURS * 3600
     owned = keys / SHARD_COUNT
     print(
-        f"claims at {KEYED_A_SECOND} keyed a second, kept for "
-        f"{RETENTION_HOURS} h: {keys:,} keys, "
+        f"claims at {KEYED_REQUESTS_PER_SECOND} keyed requests per second, "
+        f"kept for {RETENTION_HOURS} h: {keys:,} keys, "
         f"{owned * (claims[0][1] + 0.11) / 1024:.1f} MB at each owner of "
         f"one of {SHARD_COUNT} shards, "
         f"{keys * claims[2][1] / 1024:.0f} MB stored"
     )
     print(
-        f"watches: {2 * CENTRES}, host list reads {2 * CENTRES}/s + "
-        f"{(DAEMONS - 2 * CENTRES) / 10:.0f}/s"
+        f"watches: {2 * DATA_CENTRES}, "
+        f"host list reads: {2 * DATA_CENTRES}/s + "
+        f"{(GATEWAYS - 2 * DATA_CENTRES) / 10:.0f}/s"
     )
 
 
 def main():
-    """Run on the reactor."""
+    """Run all measurements on the reactor."""
     task.react(lambda _: defer.ensureDeferred(run()))
 
 
--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -1,4 +1,8 @@
-"""Measure how the work of an entry process grows with its surroundings."""
+"""Measure how the work of an entry process grows with its environment.
+
+The sizes that vary are those of the messages, of the server registry and of
+the region.
+"""
 
 import random
 import time
@@ -26,22 +30,31 @@
 )
 
 
-def best(work, rounds=ROUNDS):
-    """Return the least microseconds of one call over several repeats."""
-    least = float("inf")
+def min_micros(work, rounds=ROUNDS):
+    """Return the processor time of one call in microseconds.
+
+    Args:
+        work: Callable without arguments.
+        rounds: Calls per repeat.
+
+    Returns:
+        The mean time of a call in the fastest of `REPEATS` repeats, which
+        other processes of the machine disturb least.
+    """
+    fastest = float("inf")
     for _ in range(REPEATS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(rounds):
             work()
-        least = min(least, time.process_time() - began)
-    return least / rounds * 1e6
+        fastest = min(fastest, time.process_time() - started_at)
+    return fastest / rounds * 1e6
 
 
-def heartbeat(tickets):
-    """Return a heartbeat that names *tickets* requests."""
+def heartbeat(placements):
+    """Return a heartbeat with *placements* open placements."""
     rows = [
         PlacementRow(n, f"i-{n:010d}", 2890, 9240, 50, 4, True)
-        for n in range(tickets)
+        for n in range(placements)
     ]
     return Heartbeat(
         "front-dar-kariakoo-1",
@@ -63,12 +76,14 @@
 
 
 def show_messages():
-    """Print size and time of the messages."""
-    for tickets in (0, 10, 50, 200):
-        message = heartbeat(tickets)
+    """Print the size and decoding time of messages."""
+    for placements in (0, 10, 50, 200):
+        message = heartbeat(placements)
         data = encode_message(message)
-        spent = best(lambda data=data: decode_message(data), 500)
-        print(f"heartbeat, {tickets} requests: {len(data)} B, {spent:.1f} us")
+        micros = min_micros(lambda data=data: decode_message(data), 500)
+        print(
+            f"heartbeat, {placements} requests: {len(data)} B, {micros:.1f} us"
+        )
     for services in (2, 10, 34):
         loads = {
             f"s{n}": ServiceLoad(
@@ -77,12 +92,12 @@
             for n in range(services)
         }
         data = encode_message(RegionLoadMessage("dar", loads))
-        spent = best(lambda data=data: decode_message(data), 500)
-        print(f"summary, {services} services: {len(data)} B, {spent:.1f} us")
+        micros = min_micros(lambda data=data: decode_message(data), 500)
+        print(f"summary, {services} services: {len(data)} B, {micros:.1f} us")
 
 
-def make_placer(servers, tickets):
-    """Return a placer that knows *tickets* requests on each server."""
+def make_placer(servers, placements):
+    """Return a placer with *placements* running requests per server."""
     registry = Registry({"a": "north"})
     for n in range(servers):
         registry.put(
@@ -102,7 +117,7 @@
         random.Random(1),
         lambda now: {"north"},
     )
-    for n in range(servers * tickets):
+    for n in range(servers * placements):
         placer.place(make_query(n), 0.0)
     for key in list(placer.placements):
         placer.note_start(*key, 0.1, 0.1)
@@ -110,7 +125,7 @@
 
 
 def make_query(number):
-    """Return the ask of one request."""
+    """Return the placement query of one request."""
     parts = ((f"a{number % 4}", 2520), (f"b{number % 100}", 3780))
     return PlacementQuery(
         host="h",
@@ -125,33 +140,36 @@
 
 
 def show_placing():
-    """Print the time to place one request."""
+    """Print the processor time to place one request."""
     for servers in (5, 35, 70, 135):
-        for tickets in (0, 16):
-            placer = make_placer(servers, tickets)
+        for placements in (0, 16):
+            placer = make_placer(servers, placements)
             query = make_query(1_000_000)
 
             def work(placer=placer, query=query):
                 placer.place(query, 1.0)
 
-            spent = best(work, 200)
-            print(f"place, {servers} servers of {tickets}: {spent:.0f} us")
+            micros = min_micros(work, 200)
+            print(
+                f"place, {servers} servers with {placements} requests each: "
+                f"{micros:.0f} us"
+            )
 
 
 def show_members():
-    """Print the time to rank the hosts of a region."""
+    """Print the processor time to rank the hosts of a region."""
     for hosts in (3, 20, 90):
         members = Members(make_member(0))
         for n in range(1, hosts):
             members.add(make_member(n))
         for member in members.others.values():
             member.last_heartbeat_at = 1.0
-        spent = best(lambda members=members: members.placers(1.1), 200)
-        print(f"rank {hosts} hosts: {spent:.0f} us")
+        micros = min_micros(lambda members=members: members.placers(1.1), 200)
+        print(f"rank {hosts} hosts: {micros:.0f} us")
 
 
 def make_member(number):
-    """Return one host."""
+    """Return the member entry of one host."""
     return Member(
         name=f"h{number}",
         region="north",
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,4 +1,4 @@
-"""The least that a proxy can be: the floor that the gateway is held to.
+"""Minimal HTTP proxy, the baseline that the gateway is compared with.
 
 Usage: ``python passthrough.py LISTEN TARGET``, both as ``ip:port``.
 """
@@ -16,40 +16,40 @@
 from twisted.web.http_headers import Headers
 
 LISTEN, TARGET = sys.argv[1:3]
-PASSED = ("content-type", "x-request-id")
+FORWARDED_HEADERS = ("content-type", "x-request-id")
 POOL = HTTPConnectionPool(reactor)
 POOL.maxPersistentPerHost = 64
 AGENT = Agent(reactor, pool=POOL)
 
 
 class PassThrough(resource.Resource):
-    """Send each request on and its answer back."""
+    """Forward each request to the target and return its response."""
 
     isLeaf = True
 
     def render(self, request):
-        """Pass one request through."""
-        work = AGENT.request(
+        """Forward one request."""
+        pending = AGENT.request(
             request.method,
             b"http://" + TARGET.encode() + request.uri,
             Headers(
                 {
                     name: request.requestHeaders.getRawHeaders(name, [])
-                    for name in PASSED
+                    for name in FORWARDED_HEADERS
                 }
             ),
             FileBodyProducer(request.content),
         )
-        work.addCallback(self.answered, request)
+        pending.addCallback(self.read_response, request)
         return server.NOT_DONE_YET
 
-    def answered(self, response, request):
-        """Read the answer."""
+    def read_response(self, response, request):
+        """Set the status of the response and read its body."""
         request.setResponseCode(response.code)
-        return readBody(response).addCallback(self.whole, request)
+        return readBody(response).addCallback(self.send_response, request)
 
-    def whole(self, body, request):
-        """Send the answer back."""
+    def send_response(self, body, request):
+        """Send the buffered response body to the caller."""
         request.setHeader(b"content-length", str(len(body)).encode())
         request.write(body)
         request.finish()
--- a/examples/processes.py
+++ b/examples/processes.py
@@ -1,6 +1,6 @@
-"""Start the processes of an example on loopback and stop them again.
+"""Run the processes of an example topology on the loopback interface.
 
-Run it as ``python examples/processes.py examples/kilimanjaro.yaml``.
+Usage: ``python examples/processes.py examples/kilimanjaro.yaml``.
 """
 
 import contextlib
@@ -19,14 +19,17 @@
 import yaml
 
 LOOPBACK = "127.0.0.1"
-SECRET = "secret of the example fleet"
-TOKEN = "operator-token"
-STARTED_WITHIN = 30.0
-STOPPED_WITHIN = 20.0
+PEER_SECRET = "secret of the example fleet"
+OPERATOR_TOKEN = "operator-token"
+START_TIMEOUT_SECONDS = 30.0
+"""Time in which a process has to respond after its start."""
+
+STOP_TIMEOUT_SECONDS = 20.0
+"""Time in which all processes have to exit before they are killed."""
 
 
 def free_address():
-    """Return a loopback address with a port that is free now."""
+    """Return a loopback address with a port that is currently unused."""
     with socket.socket() as probe:
         probe.bind((LOOPBACK, 0))
         return f"{LOOPBACK}:{probe.getsockname()[1]}"
@@ -36,8 +39,14 @@
     """The processes of one topology.
 
     Args:
-        topology: The mapping of an example file.
-        directory: Where settings and logs are written.
+        topology: Decoded mapping of an example file.
+        directory: Directory for settings files and logs.
+
+    Attributes:
+        platform: Address of the fake platform.
+        admin: Address of the admin server.
+        rows: Rows of the host list.
+        running: Started processes, by name.
     """
 
     def __init__(self, topology, directory):
@@ -48,22 +57,22 @@
         self.admin = free_address()
         self.rows = []
         self.running = {}
-        for region, shape in topology["regions"].items():
-            self.plan_region(region, shape)
+        for region, region_shape in topology["regions"].items():
+            self.add_region_rows(region, region_shape)
 
-    def plan_region(self, region, shape):
-        """Note the host-list rows of one region."""
+    def add_region_rows(self, region, region_shape):
+        """Add the host-list rows of one region."""
         for kind, count, prefix in (
-            ("entry", shape["gateways"], "gateway"),
-            ("engine", shape["engines"], "engine"),
-            ("service", shape["services"], "service"),
+            ("entry", region_shape["gateways"], "gateway"),
+            ("engine", region_shape["engines"], "engine"),
+            ("service", region_shape["services"], "service"),
         ):
             for number in range(count):
                 self.rows.append(
-                    self.plan_row(region, kind, f"{region}-{prefix}-{number}")
+                    self.make_row(region, kind, f"{region}-{prefix}-{number}")
                 )
 
-    def plan_row(self, region, kind, name):
+    def make_row(self, region, kind, name):
         """Return one host-list row."""
         row = {
             "name": name,
@@ -81,7 +90,14 @@
         return row
 
     def start(self):
-        """Start all processes, and write the first configuration."""
+        """Start all processes and upload the initial configuration.
+
+        Returns after all gateways are ready.
+
+        Raises:
+            SystemExit: The configuration was refused.
+            TimeoutError: A process did not respond in time.
+        """
         hosts = self.write("hosts.yaml", {"hosts": self.rows})
         self.run(
             "platform",
@@ -97,9 +113,9 @@
         self.run("admin", "hyssop-admin", "--settings", self.admin_settings())
         self.wait_for(self.admin, "/healthz")
         text = yaml.safe_dump(self.configuration())
-        status, report = self.operate("PUT", "/v1/files/10-base.yaml", text)
+        status, report = self.call_admin("PUT", "/v1/files/10-base.yaml", text)
         if status != 200:
-            raise SystemExit(f"the configuration was refused: {report}")
+            raise SystemExit(f"initial configuration was refused: {report}")
         for row in self.gateways():
             self.wait_for(row["address"], "/readyz")
 
@@ -114,11 +130,11 @@
         self.run(name, program, "--listen", address, "--name", name)
 
     def gateways(self):
-        """Return the rows of the entry hosts."""
+        """Return the host-list rows of the gateways."""
         return [row for row in self.rows if row["kind"] == "entry"]
 
     def common_settings(self, name, region):
-        """Return the settings that all processes have."""
+        """Return the settings that all processes share."""
         return {
             "host": name,
             "region": region,
@@ -126,7 +142,7 @@
             "regions": list(self.topology["regions"]),
             "platform": f"etcd+http://{self.platform}",
             "host_list": f"http://{self.platform}",
-            "peer_secret": SECRET,
+            "peer_secret": PEER_SECRET,
         }
 
     def gateway_settings(self, row):
@@ -149,33 +165,37 @@
         }
 
     def admin_settings(self):
-        """Write the settings of the administration; return their path."""
+        """Write the settings of the admin server and of its command line.
+
+        Returns:
+            Path of the settings of the admin server.
+        """
         region = next(iter(self.topology["regions"]))
         settings = self.common_settings("admin-0", region) | {
             "listen": self.admin,
-            "tokens": {"operators": TOKEN},
+            "tokens": {"operators": OPERATOR_TOKEN},
         }
         self.write(
             "hyssopctl.yaml",
-            {"admin": f"http://{self.admin}", "token": TOKEN},
+            {"admin": f"http://{self.admin}", "token": OPERATOR_TOKEN},
         )
         return self.write("admin.yaml", settings)
 
     def configuration(self):
-        """Return the first configuration file."""
+        """Return the content of the initial configuration file."""
         regions = list(self.topology["regions"])
-        distance = self.topology["round_trip_ms"]
+        round_trip_ms = self.topology["round_trip_ms"]
         workspaces = {}
         for name, values in self.topology["workspaces"].items():
-            rights = dict(values)
-            key = rights.pop("key")
+            permissions = dict(values)
+            key = permissions.pop("key")
             digest = hashlib.sha256(key.encode()).hexdigest()
-            workspaces[name] = rights | {"keys": {"example": digest}}
+            workspaces[name] = permissions | {"keys": {"example": digest}}
         return {
             "regions": {
                 region: {
                     "round_trip_ms": {
-                        other: float(distance)
+                        other: float(round_trip_ms)
                         for other in regions
                         if other != region
                     }
@@ -188,13 +208,13 @@
         }
 
     def write(self, name, value):
-        """Write a YAML file and return its path."""
+        """Write *value* to a YAML file and return its path."""
         path = self.directory / name
         path.write_text(yaml.safe_dump(value, sort_keys=False))
         return str(path)
 
     def run(self, name, program, *arguments):
-        """Start one process; its output goes to a log file."""
+        """Start one process, with its output redirected to a log file."""
         log = open(self.directory / f"{name}.log", "ab")  # noqa: SIM115
         path = pathlib.Path(sys.executable).parent / program
         self.running[name] = subprocess.Popen(
@@ -203,51 +223,55 @@
         log.close()
 
     def wait_for(self, address, path):
-        """Wait until *path* answers with status 200."""
-        give_up = time.monotonic() + STARTED_WITHIN
-        while time.monotonic() < give_up:
+        """Wait until a request for *path* returns status 200.
+
+        Raises:
+            TimeoutError: It does not within `START_TIMEOUT_SECONDS`.
+        """
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError):
                 status, _ = self.fetch("GET", f"http://{address}{path}")
                 if status == 200:
                     return
             time.sleep(0.05)
-        raise TimeoutError(f"no answer from {address}{path}")
+        raise TimeoutError(f"no response with status 200 from {address}{path}")
 
-    def operate(self, method, path, text=None):
-        """Ask the administration; return status and decoded answer."""
+    def call_admin(self, method, path, text=None):
+        """Call the admin server; return status and decoded JSON body."""
         return self.fetch(
             method,
             f"http://{self.admin}{path}",
             text.encode() if text is not None else None,
-            {"Authorization": f"Bearer {TOKEN}"},
+            {"Authorization": f"Bearer {OPERATOR_TOKEN}"},
         )
 
     def fetch(self, method, url, body=None, headers=None, timeout=20):
-        """Send one request; return status and decoded JSON answer."""
+        """Send one request; return status and decoded JSON body."""
         request = urllib.request.Request(
             url, body, headers or {}, method=method
         )
         try:
-            with urllib.request.urlopen(request, timeout=timeout) as answer:
-                return answer.status, json.loads(answer.read() or b"null")
+            with urllib.request.urlopen(request, timeout=timeout) as response:
+                return response.status, json.loads(response.read() or b"null")
         except urllib.error.HTTPError as error:
             return error.code, json.loads(error.read() or b"null")
 
     def signal(self, name, number):
-        """Send a signal to one process."""
+        """Send the signal *number* to one process."""
         os.kill(self.running[name].pid, number)
 
     def stop(self):
-        """Stop all processes; kill what does not stop in time."""
+        """Stop all processes; kill those that do not exit in time."""
         for process in self.running.values():
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
-        give_up = time.monotonic() + STOPPED_WITHIN
+        deadline = time.monotonic() + STOP_TIMEOUT_SECONDS
         for process in self.running.values():
-            left = max(0.1, give_up - time.monotonic())
+            remaining_seconds = max(0.1, deadline - time.monotonic())
             try:
-                process.wait(left)
+                process.wait(remaining_seconds)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -264,7 +288,7 @@
         for row in processes.gateways():
             print(f"{row['name']}: http://{row['address']}")
         print(f"hyssopctl --settings {processes.directory}/hyssopctl.yaml")
-        print("stop with Ctrl-C", flush=True)
+        print("press Ctrl-C to stop", flush=True)
         signal.pause()
     except KeyboardInterrupt:
         pass
--- a/src/hyssopspring/__init__.py
+++ b/src/hyssopspring/__init__.py
@@ -1,8 +1,8 @@
-"""A multi-region inference gateway for many teams."""
+"""A multi-region inference gateway shared by many teams."""
 
 import importlib
 
-_HOMES = {
+_MODULES_BY_NAME = {
     "Accepted": "accepted",
     "Answered": "outcomes",
     "Configuration": "configuration",
@@ -38,12 +38,18 @@
 
 
 def __getattr__(name):
-    """Import a public name when it is first used.
+    """Import a public name on first use.
 
-    A host that was killed serves again only when its program is loaded,
-    and no process needs all of these modules.
+    A host that restarts after a kill serves requests only after its modules
+    are loaded, and no process needs all of the modules of this package.
+    Eager imports would lengthen the restart.
+
+    Raises:
+        AttributeError: The package has no such public name.
     """
-    if name not in _HOMES:
-        raise AttributeError(f"module {__name__!r} has no {name!r}")
-    module = importlib.import_module(f".core.{_HOMES[name]}", __name__)
+    if name not in _MODULES_BY_NAME:
+        raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
+    module = importlib.import_module(
+        f".core.{_MODULES_BY_NAME[name]}", __name__
+    )
     return getattr(module, name)
--- a/src/hyssopspring/plots.py
+++ b/src/hyssopspring/plots.py
@@ -1,19 +1,19 @@
-"""Plots, drawn only where the plotting library is installed."""
+"""Plots, which need the optional dependency matplotlib."""
 
 import click
 
 
 def load_pyplot():
-    """Return the plotting library.
+    """Return `matplotlib.pyplot` with a backend that writes files only.
 
     Raises:
-        click.ClickException: It is not installed.
+        click.ClickException: matplotlib is not installed.
     """
     try:
         import matplotlib
     except ImportError:
         raise click.ClickException(
-            "plots need the extra 'plot': pip install hyssopspring[plot]"
+            "matplotlib is not installed: pip install hyssopspring[plot]"
         ) from None
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -22,11 +22,11 @@
 
 
 def plot_timeline(events, path):
-    """Draw events over time, a row for each host.
+    """Plot events over time, with one row per host.
 
     Args:
-        events: Events as the administration gives them.
-        path: PNG file to write.
+        events: Events as decoded from a response of the admin server.
+        path: Path of the PNG file to write.
     """
     pyplot = load_pyplot()
     hosts = sorted({event["host"] for event in events})
@@ -47,17 +47,17 @@
     pyplot.close(figure)
 
 
-def plot_percentiles(times, path):
-    """Draw the time at each percentile, a line for each kind.
+def plot_percentiles(histograms, path):
+    """Plot the time at each percentile, with one line per kind.
 
     Args:
-        times: Histogram of microseconds by kind.
-        path: PNG file to write.
+        histograms: Histogram in microseconds by kind of time.
+        path: Path of the PNG file to write.
     """
     pyplot = load_pyplot()
     figure, axes = pyplot.subplots(figsize=(7, 4))
     points = [point / 2 for point in range(2, 200)] + [99.9]
-    for kind, histogram in times.items():
+    for kind, histogram in histograms.items():
         if histogram.get_total_count():
             values = [
                 histogram.get_value_at_percentile(point) / 1000
--- a/src/hyssopspring/records.py
+++ b/src/hyssopspring/records.py
@@ -1,34 +1,37 @@
-"""Read structured log lines of several processes into one order."""
+"""Merge the structured log lines of several processes and explain them."""
 
 import msgspec
 
 from .core.exceptions import ProtocolError
 from .core.shares import TOTAL_UNITS
 
-__all__ = ["Record", "cause_of", "read_records", "record_line"]
+__all__ = ["LogRecord", "cause_of", "format_record", "read_records"]
 
-HIDDEN = ("ms", "n", "host", "event", "number", "request")
+STANDARD_FIELDS = ("ms", "n", "host", "event", "number", "request")
+"""Fields of every log line, which are left out of its details."""
 
+PRECEDING_WINDOW_MILLIS = 2500
+"""Time before a placement within which other placements at its server are
+reported as preceding it. It exceeds the prefill time of the longest prompts,
+which is two seconds."""
 
-BEFORE_MILLIS = 2500
-"""Milliseconds before a placement in which others count as before it: the
-reading of the longest prompts takes two seconds."""
+MIN_STALL_MILLIS = 300
+"""Time without an event after which a stream counts as stalled: the shortest
+such limit that any user requires."""
 
-LONG_GAP = 300
-"""Milliseconds without an event from which a stream seems to stand still:
-the shortest bound on any of the users' sheets."""
 
-
-class Record(msgspec.Struct, frozen=True):
+class LogRecord(msgspec.Struct, frozen=True):
     """One log line.
 
     Attributes:
-        millis: Hybrid logical time, wall-clock part in milliseconds.
-        counter: Hybrid logical time, part that orders equal times.
-        host: Host that wrote it.
-        event: Name in the catalogue.
-        request: Request that it belongs to, or an empty string.
-        details: What else it says, by name.
+        millis: Wall-clock part of the hybrid logical time, in milliseconds.
+        counter: Counter of the hybrid logical time, which orders events of
+            the same millisecond.
+        host: Host that wrote the line.
+        event: Event name from the event catalogue.
+        request: ID of the request that the event belongs to, or an empty
+            string.
+        details: All other fields, by name.
     """
 
     millis: int
@@ -40,13 +43,13 @@
 
 
 def read_records(lines):
-    """Return the records of *lines* in one order.
+    """Return the records of *lines*, sorted by hybrid logical time.
 
-    Text before the first brace, such as the mark of a log collector, is
-    left out; so are lines that are no records.
+    Text before the first brace, such as the prefix of a log collector, is
+    ignored, and so are lines that are not valid records.
 
     Args:
-        lines: Lines of text of any number of processes.
+        lines: Lines of text from any number of processes.
     """
     records = []
     for line in lines:
@@ -57,32 +60,38 @@
             records.append(read_record(line[start:]))
         except ProtocolError:
             continue
-    records.sort(key=lambda one: (one.millis, one.counter, one.host))
+    records.sort(
+        key=lambda record: (record.millis, record.counter, record.host)
+    )
     return records
 
 
 def read_record(text):
-    """Return the record of one line.
+    """Parse the JSON object of one line.
 
     Raises:
-        ProtocolError: It is none.
+        ProtocolError: The text is not a valid record.
     """
     try:
         values = msgspec.json.decode(text)
-        return Record(
+        return LogRecord(
             int(values["ms"]),
             int(values["n"]),
             values["host"],
             values["event"],
             values.get("request", ""),
-            {name: values[name] for name in values if name not in HIDDEN},
+            {
+                name: values[name]
+                for name in values
+                if name not in STANDARD_FIELDS
+            },
         )
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as problem:
-        raise ProtocolError(f"log line: {problem}") from None
+        raise ProtocolError(f"invalid log line: {problem}") from None
 
 
-def record_line(record):
-    """Return one line for a person."""
+def format_record(record):
+    """Format a record as one readable line."""
     details = " ".join(f"{k}={v}" for k, v in record.details.items() if v)
     return (
         f"{record.millis} {record.counter} {record.host} "
@@ -90,68 +99,75 @@
     )
 
 
-def cause_of(records, others=()):
-    """Return why a request ended as it did, from records alone.
+def cause_of(records, all_records=()):
+    """Explain the outcome of a request from its log records.
 
     Args:
-        records: Its `Record` list, in order.
-        others: `Record` list of all requests, to tell what stood before
-            it at its server; may be left out.
+        records: `LogRecord` list of the request, sorted by time.
+        all_records: `LogRecord` list of all requests, from which the requests
+            placed just before it at its server are found. Optional.
 
     Returns:
-        One line of text.
+        The explanation, as one line of text.
     """
-    refused = [one for one in records if one.event == "not_run"]
-    ended = [one for one in records if one.event == "attempt_ended"]
-    away = [one for one in records if one.event == "sent_away"]
-    final = [one for one in records if one.event in ("answered", "unknown")]
+    refused = [record for record in records if record.event == "not_run"]
+    ended_attempts = [
+        record for record in records if record.event == "attempt_ended"
+    ]
+    sent_away = [record for record in records if record.event == "sent_away"]
+    final = [
+        record for record in records if record.event in ("answered", "unknown")
+    ]
     if not final and not refused:
-        return "it has not ended, or its end was left out"
+        return "the request has not ended, or its last log line was dropped"
     last = (final or refused)[-1]
     parts = [f"{last.details.get('how', 'refused')} by {last.host}"]
-    for one in ended:
+    for record in ended_attempts:
         parts.append(
-            f"attempt at {one.details['at']} ended: {one.details['reason']}"
+            f"attempt at {record.details['at']} ended: "
+            f"{record.details['reason']}"
         )
-    for one in away:
+    for record in sent_away:
         parts.append(
-            f"sent to {one.details['region']}, predicted "
-            f"{one.details['predicted']} s"
+            f"sent to {record.details['region']}, predicted "
+            f"{record.details['predicted']} s"
         )
-    for one in refused:
-        parts.append(refusal_text(one))
-    parts += lateness(last.details)
-    placed = [one for one in records if one.event == "placed"]
+    for record in refused:
+        parts.append(describe_refusal(record))
+    parts += describe_lateness(last.details)
+    placed = [record for record in records if record.event == "placed"]
     if placed and len(parts) > 1:
-        parts += stood_before(placed[-1], others)
-    return "; ".join(parts + versions(records))
+        parts += describe_preceding(placed[-1], all_records)
+    return "; ".join(parts + describe_versions(records))
 
 
-def versions(records):
-    """Return a text for each host on the configuration that it held.
+def describe_versions(records):
+    """Return a text on the configuration version of each host.
 
-    Hosts that held different ones explain a request that was handled as
-    only an older one allows.
+    If the hosts of a request held different versions, the older one can
+    explain a decision that the newer one rules out.
 
     Args:
-        records: `Record` list of a request.
+        records: `LogRecord` list of the request.
     """
-    held = {
-        one.host: one.details for one in records if "version_by" in one.details
+    version_details = {
+        record.host: record.details
+        for record in records
+        if "version_by" in record.details
     }
     return [
-        f"{host} held version {one['version']} by {one['version_by']} of "
-        f"{one['version_from']} for {one['version_for']} s, confirmed "
-        f"{one['view_age']} s before"
-        for host, one in held.items()
+        f"{host} held version {details['version']} by "
+        f"{details['version_by']} of {details['version_from']} for "
+        f"{details['version_for']} s, confirmed {details['view_age']} s before"
+        for host, details in version_details.items()
     ]
 
 
-def lateness(details):
-    """Return texts that say how an answer missed what users want.
+def describe_lateness(details):
+    """Return a text for each latency target that a response missed.
 
     Args:
-        details: Those of the record of its end, by name.
+        details: Details of the record of its end, by name.
     """
     if "objective_ms" not in details or details.get("how") != "answered":
         return []
@@ -159,71 +175,78 @@
     texts = []
     if first > objective:
         texts.append(
-            f"began late, after {first} ms with an objective of {objective} ms"
+            f"first output late, after {first} ms with an objective of "
+            f"{objective} ms"
         )
         predicted = float(details["predicted"]) * 1000
         if predicted <= objective:
-            texts.append(f"wrongly predicted, {predicted:.0f} ms")
-    if int(details["longest_gap_ms"]) > LONG_GAP:
-        texts.append(f"stood still for {details['longest_gap_ms']} ms")
+            texts.append(f"prediction too low, {predicted:.0f} ms")
+    if int(details["longest_gap_ms"]) > MIN_STALL_MILLIS:
+        texts.append(f"stalled for {details['longest_gap_ms']} ms")
     return texts
 
 
-def stood_before(placed, others):
-    """Return a text on the requests sent to a server just before one.
+def describe_preceding(placed, all_records):
+    """Return a text on the requests placed at a server just before one.
 
     Args:
-        placed: The `Record` of its placement.
-        others: `Record` list of all requests.
+        placed: `LogRecord` of the placement of the request in question.
+        all_records: `LogRecord` list of all requests.
     """
     server = placed.details["server"]
-    before = [
-        one
-        for one in others
-        if one.event == "placed"
-        and one.details["server"] == server
-        and 0 <= placed.millis - one.millis <= BEFORE_MILLIS
-        and one.request != placed.request
+    preceding = [
+        record
+        for record in all_records
+        if record.event == "placed"
+        and record.details["server"] == server
+        and 0 <= placed.millis - record.millis <= PRECEDING_WINDOW_MILLIS
+        and record.request != placed.request
     ]
-    if not before:
+    if not preceding:
         return []
-    longest = max(before, key=lambda one: float(one.details["predicted"]))
+    longest = max(
+        preceding, key=lambda record: float(record.details["predicted"])
+    )
     return [
-        f"{len(before)} others were sent to {server} within "
-        f"{BEFORE_MILLIS} ms before, {longest.request} the slowest of them "
+        f"{len(preceding)} other requests were sent to {server} "
+        f"within {PRECEDING_WINDOW_MILLIS} ms before, {longest.request} the "
+        f"slowest of them "
         f"(predicted {longest.details['predicted']} s, urgency "
         f"{longest.details['urgency']})"
     ]
 
 
-def limit_text(details):
-    """Return which limit was reached, and how it stood.
+def describe_limit(details):
+    """Return a text on the limit that was exceeded and its state.
 
     Args:
-        details: Those of the record of the refusal, by name.
+        details: Details of the record of the refusal, by name.
     """
     share = int(details["units"]) / TOTAL_UNITS
     return (
         f", workspace {details['workspace']} asked for {details['cost']} "
         f"tokens with {details['left']} left at {details['counted_by']}, "
-        f"which holds {share:.0%} of the limit and is asked for "
-        f"{details['demand']} a second"
+        f"which holds {share:.0%} of the limit, with a demand of "
+        f"{details['demand']} tokens per second"
     )
 
 
-def refusal_text(record):
-    """Return why and until when a request was refused."""
+def describe_refusal(record):
+    """Return a text on why a request was refused and when to retry it."""
     text = f"refused: {record.details.get('reason', '')}"
     if "predicted" in record.details:
         text += f", predicted {record.details['predicted']} s"
     if "version" in record.details:
         text += f", at version {record.details['version']}"
     if "counted_by" in record.details:
-        text += limit_text(record.details)
+        text += describe_limit(record.details)
     if record.details.get("evidence"):
-        text += f", servers ended under it: {record.details['evidence']}"
+        text += (
+            f", server crashes while it was running: "
+            f"{record.details['evidence']}"
+        )
     if record.details.get("closed_by"):
-        text += f", no server open: {record.details['closed_by']}"
+        text += f", no server available: {record.details['closed_by']}"
     if "retry_after" not in record.details:
         return text
-    return f"{text}, come back in {record.details['retry_after']} s"
+    return f"{text}, retry after {record.details['retry_after']} s"
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -58,7 +58,7 @@
 
 def connected(processes):
     """Whether each gateway reports all data centres and backend servers."""
-    _, answer = processes.operate("GET", "/v1/status")
+    _, answer = processes.call_admin("GET", "/v1/status")
     return len(answer["hosts"]) == 4 and all(
         len(host["centres"]) == 2 and len(host["servers"]) == 2
         for host in answer["hosts"]
@@ -171,7 +171,7 @@
     assert_that(result.returncode, Equals(1))
     assert_that(result.stderr, Contains("30-bad.yaml:3:"))
     result = hyssopctl(processes, "config", "explain", "brokers")
-    assert_that(result.stdout, Contains("20-team.yaml:1 says 20000"))
+    assert_that(result.stdout, Contains("20-team.yaml:1 sets 20000"))
     result = hyssopctl(processes, "timeline")
     assert_that(result.stdout, Contains("config_refused"))
     for name in ("20-team.yaml", "30-bad.yaml"):
@@ -292,12 +292,12 @@
     processes.signal("mwanza-gateway-0", signal.SIGSTOP)
     processes.fetch("DELETE", entry)
     text = "workspaces: {brokers: {residency: [dar, arusha]}}\n"
-    status, report = processes.operate("PUT", "/v1/files/20-cut.yaml", text)
+    status, report = processes.call_admin("PUT", "/v1/files/20-cut.yaml", text)
     assert_that(status, Equals(409))
     assert_that(report["reason"], Contains("data centre mwanza-a"))
-    status, _ = processes.operate("DELETE", "/v1/data-centres/mwanza-a")
+    status, _ = processes.call_admin("DELETE", "/v1/data-centres/mwanza-a")
     assert_that(status, Equals(200))
-    status, report = processes.operate(
+    status, report = processes.call_admin(
         "PUT", "/v1/files/20-cut.yaml", text + "# again\n"
     )
     assert_that(status, Equals(200))
@@ -307,7 +307,7 @@
     served_remotely = len(executed_requests(processes, "mwanza")) - before
     assert_that(served_remotely, Equals(0))
     processes.fetch("PUT", entry, to_json_bytes(row))
-    status, _ = processes.operate("DELETE", "/v1/files/20-cut.yaml")
+    status, _ = processes.call_admin("DELETE", "/v1/files/20-cut.yaml")
     assert_that(status, Equals(200))
     wait_until(
         lambda: send_completion(processes, "mwanza-gateway-0")[0] == 200
@@ -333,11 +333,13 @@
         for _ in range(5):
             status, _ = send_completion(processes, gateway)
             assert_that(status, Equals(200))
-    status, answer = processes.operate("PUT", "/v1/files/40-x.yaml", "")
+    status, answer = processes.call_admin("PUT", "/v1/files/40-x.yaml", "")
     assert_that(status, Equals(503))
     processes.signal("platform", signal.SIGCONT)
     wait_until(
-        lambda: processes.operate("PUT", "/v1/files/40-x.yaml", "")[0] == 200
+        lambda: (
+            processes.call_admin("PUT", "/v1/files/40-x.yaml", "")[0] == 200
+        )
     )
 
 
