--- a/src/hyssopspring/gateway.py
+++ b/src/hyssopspring/gateway.py
@@ -32,6 +32,7 @@
 from .net.serving import LimitedSite, Router
 from .observability import log_failure, make_rng, make_timeline
 from .settings import GatewaySettings, settings_command, split_address
+from .stores import etcd  # noqa: F401 - registers the etcd client
 from .stores.hosts import HostListClient
 from .stores.keyvalues import find_client
 from .stores.sync import ConfigSync, HostListSync
