--- a/benchmarks/entry_slopes.py
+++ b/benchmarks/entry_slopes.py
@@ -105,7 +105,7 @@
     for n in range(servers * tickets):
         placer.place(make_query(n), 0.0)
     for key in list(placer.placements):
-        placer.note_start(*key, 0.1, 0.1)
+        placer.record_response_start(*key, 0.1, 0.1)
     return placer
 
 
--- a/src/hyssopspring/entry/admission.py
+++ b/src/hyssopspring/entry/admission.py
@@ -11,7 +11,7 @@
 BAD_REQUEST = 400
 UNAVAILABLE = 503
 
-UNVERIFIED_RETRY_SECONDS = 0.2
+UNVERIFIED_KEY_RETRY_SECONDS = 0.2
 """Retry-After of a request whose key cannot be checked against a configuration
 that is known to be current. Other hosts can serve it at once, and this host
 can within this time after it reaches another host again."""
@@ -64,7 +64,9 @@
     if not configuration.needs_key(route):
         return Permissions(priority=route.priority, homes=route.homes)
     if not confirmed:
-        return Denied(UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_RETRY_SECONDS)
+        return Denied(
+            UNAVAILABLE, Reason.UNVERIFIED, UNVERIFIED_KEY_RETRY_SECONDS
+        )
     workspace = configuration.workspace_of(metadata.key_digest)
     if workspace is NOTHING:
         return Denied(UNAUTHORIZED, Reason.UNKNOWN_WORKSPACE)
--- a/src/hyssopspring/entry/attempts.py
+++ b/src/hyssopspring/entry/attempts.py
@@ -185,7 +185,7 @@
         self.connection = NOTHING
         self.sent = False
         self.buffered_response = NOTHING
-        self.finding = AttemptResult.CANCELLED
+        self.result = AttemptResult.CANCELLED
         self.events = 0
         self.first_data_received = False
         self.first_data_at = NOTHING
@@ -216,12 +216,12 @@
         return bool(self.cause)
 
     @property
-    def ran_for(self):
+    def attempt_age(self):
         """Seconds from sending the request to its failure."""
         return self.ended_at - self.sent_at
 
     @property
-    def begun_for(self):
+    def response_age(self):
         """Seconds from the first response data to its end, or `NOTHING`."""
         if self.first_data_at is NOTHING:
             return NOTHING
@@ -305,17 +305,17 @@
             response.code, forwarded_headers(response), body, head
         )
         if head.misdirected:
-            self.finding = AttemptResult.MISDIRECTED
+            self.result = AttemptResult.MISDIRECTED
             return NotRun(Reason.REFUSED)
         if head.not_run:
-            self.finding = AttemptResult.FULL
+            self.result = AttemptResult.FULL
             return self.refusal(head)
         if not head.signed and response.code < 300:
             raise _InvalidResponse
         self.note_first_data()
-        self.finding = AttemptResult.ANSWERED
+        self.result = AttemptResult.ANSWERED
         if response.code >= 500:
-            self.finding = AttemptResult.ERROR
+            self.result = AttemptResult.ERROR
         return Answered(response.code)
 
     def refusal(self, head):
@@ -345,7 +345,7 @@
             write(events)
 
         await self.read(response, _EventReader(on_events))
-        self.finding = AttemptResult.ANSWERED
+        self.result = AttemptResult.ANSWERED
         return Answered(response.code)
 
     async def read(self, response, reader):
@@ -376,7 +376,7 @@
             self.connection.transport.abortConnection()
         if self.abandon_reason is not NOTHING:
             if self.was_silent:
-                self.finding = AttemptResult.SILENT
+                self.result = AttemptResult.SILENT
                 # Its other idle connections may be unusable for this reason.
                 self.connections.close_idle(
                     self.endpoint.key, before=self.sent_at
@@ -384,15 +384,15 @@
             outcome = Unknown if self.sent else NotRun
             return outcome(self.abandon_reason)
         if not self.sent:
-            self.finding = AttemptResult.UNREACHED
+            self.result = AttemptResult.UNREACHED
             return NotRun(Reason.CONNECT)
         if failure.check(_InvalidResponse):
-            self.finding = AttemptResult.ERROR
+            self.result = AttemptResult.ERROR
             return Unknown(Reason.BAD_ANSWER)
         if failure.check(_TruncatedResponse):
-            self.finding = AttemptResult.ERROR
+            self.result = AttemptResult.ERROR
             return Unknown(Reason.TRUNCATED)
-        self.finding = AttemptResult.SILENT
+        self.result = AttemptResult.SILENT
         return Unknown(Reason.CONNECTION_LOST)
 
 
--- a/src/hyssopspring/entry/callers.py
+++ b/src/hyssopspring/entry/callers.py
@@ -45,7 +45,7 @@
 waits until it is verified that the route or key does not exist. Other hosts
 respond within one round trip, the store within two."""
 
-UNVERIFIED_RETRY_SECONDS = 0.5
+UNKNOWN_RETRY_SECONDS = 0.5
 """Retry-After of a host that cannot verify an unknown route or key."""
 
 UNAUTHORIZED = 401
@@ -166,7 +166,7 @@
 
     def refuse_unverified(self, request):
         """Refuse a request whose route or key could not be verified."""
-        self.refuse(request, Reason.UNVERIFIED, UNVERIFIED_RETRY_SECONDS)
+        self.refuse(request, Reason.UNVERIFIED, UNKNOWN_RETRY_SECONDS)
 
     def refuse_unknown(self, request):
         """Respond that there is no such route."""
--- a/src/hyssopspring/entry/coordinator.py
+++ b/src/hyssopspring/entry/coordinator.py
@@ -104,7 +104,7 @@
             advances while the host is suspended.
         timeline: The `Timeline`.
         limiter: The `WorkspaceLimiter`.
-        rests: The `RetryAfterPauses`: the retry-after pauses that servers
+        retry_after_pauses: The `RetryAfterPauses`: the pauses that servers
             requested from this host.
         guarded: Called with a function to run; logs its unexpected failure.
     """
@@ -119,7 +119,7 @@
         boot_clock,
         timeline,
         limiter,
-        rests,
+        retry_after_pauses,
         guarded=lambda work: work(),
     ):
         self.members = members
@@ -130,7 +130,7 @@
         self.boot_clock = boot_clock
         self.timeline = timeline
         self.limiter = limiter
-        self.rests = rests
+        self.retry_after_pauses = retry_after_pauses
         self.guarded = guarded
         self.number = 0
         self.pending_queries = {}
@@ -162,7 +162,7 @@
 
     def exclude_paused(self, ask):
         """Return a `PlacementQuery` without the servers that are paused."""
-        paused = self.rests.blocked(self.clock.seconds())
+        paused = self.retry_after_pauses.blocked(self.clock.seconds())
         if not paused:
             return ask
         return replace(ask, excluded=(*ask.excluded, *paused))
@@ -181,7 +181,7 @@
         now = self.clock.seconds()
         return replace(
             decision,
-            retry_after=self.rests.retry_delay(pause, now),
+            retry_after=self.retry_after_pauses.retry_delay(pause, now),
             evidence=pause.describe(now),
         )
 
@@ -203,9 +203,10 @@
         ids = [
             one
             for one in candidate_ids
-            if one not in excluded or self.rests.is_blocked(one, now)
+            if one not in excluded
+            or self.retry_after_pauses.is_blocked(one, now)
         ]
-        return self.rests.first_to_end(ids, now)
+        return self.retry_after_pauses.first_to_end(ids, now)
 
     def retry_after_for_refused(self, service, default):
         """Return the Retry-After for a caller whose request was rejected.
@@ -218,7 +219,7 @@
         pause = self.earliest_pause_end(service)
         if pause is NOTHING:
             return default
-        return self.rests.retry_delay(pause, self.clock.seconds())
+        return self.retry_after_pauses.retry_delay(pause, self.clock.seconds())
 
     async def query_hosts(self, number, ask):
         """Return the first usable decision of a queried host.
@@ -279,7 +280,9 @@
             self.placements[number] = OpenPlacement(
                 decision, ask.demand, placer
             )
-            self.rests.record_sent(decision.server_id, self.clock.seconds())
+            self.retry_after_pauses.record_sent(
+                decision.server_id, self.clock.seconds()
+            )
         elif isinstance(decision, PlacedRemotely) and ask.cost:
             self.away_placers[number] = placer
 
@@ -298,7 +301,7 @@
         usability = self.registry.usability(decision.server_id, now)
         if usability is Usability.LEAVING:
             return False
-        return not self.rests.is_blocked(decision.server_id, now)
+        return not self.retry_after_pauses.is_blocked(decision.server_id, now)
 
     def send_query(self, member, ask, *, is_fallback=False):
         """Query another host; return a deferred of the decision.
@@ -422,30 +425,30 @@
             answer_message(ask.number, decision), member.control
         )
 
-    def note_start(self, number, seconds):
+    def record_response_start(self, number, seconds):
         """Record and report that a request has received its first event."""
         placement = self.placements.get(number)
         if placement is None:
             return
         placement.started = True
-        self.placer.note_start(
+        self.placer.record_response_start(
             self.host, number, seconds, self.clock.seconds()
         )
         self.send_to_placer(
             placement.placer, AttemptStartedMessage(self.host, number, seconds)
         )
 
-    def note_end(self, number, finding):
+    def record_attempt_end(self, number, result):
         """Record and report the end of an attempt or an unused placement."""
-        if finding is AttemptResult.UNUSED:
+        if result is AttemptResult.UNUSED:
             self.note_away_end(number, ran=False)
         placement = self.placements.pop(number, None)
         if placement is None:
             return
         server_id = placement.placed.server_id
-        self.handle_end(self.host, number, server_id, finding)
+        self.handle_end(self.host, number, server_id, result)
         message = AttemptEndedMessage(
-            self.host, number, server_id, int(finding)
+            self.host, number, server_id, int(result)
         )
         self.send_to_placer(placement.placer, message)
 
@@ -459,25 +462,27 @@
         placer = self.away_placers.pop(number, "")
         if not placer or ran:
             return
-        self.limiter.note_end(self.host, number, AttemptResult.UNUSED)
+        self.limiter.record_attempt_end(
+            self.host, number, AttemptResult.UNUSED
+        )
         message = AttemptEndedMessage(
             self.host, number, "", int(AttemptResult.UNUSED)
         )
         self.send_to_placer(placer, message)
 
-    def handle_end(self, host, number, server_id, finding):
+    def handle_end(self, host, number, server_id, result):
         """Update limits and server load for the end of any host's attempt."""
-        self.limiter.note_end(host, number, finding)
+        self.limiter.record_attempt_end(host, number, result)
         if not server_id:
             return
-        suspected = self.placer.note_end(
-            host, number, server_id, finding, self.clock.seconds()
+        suspected = self.placer.record_attempt_end(
+            host, number, server_id, result, self.clock.seconds()
         )
         if suspected:
             self.timeline.note(
                 EventKind.SERVER_PAUSED,
                 server=server_id,
-                reason=AttemptResult(finding).name.lower(),
+                reason=AttemptResult(result).name.lower(),
                 told_by=host,
             )
 
--- a/src/hyssopspring/entry/crashdetection.py
+++ b/src/hyssopspring/entry/crashdetection.py
@@ -143,7 +143,9 @@
     def record_run(self, attempt, caller):
         """Record that a request ran well, if any request is suspected."""
         if self.sharing.has_suspects() and shows_success(attempt):
-            self.sharing.ran_well(attempt_fingerprint(attempt), caller)
+            self.sharing.record_completion(
+                attempt_fingerprint(attempt), caller
+            )
 
     def record_crash(self, attempt, caller, predicted, sent_by):
         """Log and record that a server crashed under a request."""
@@ -151,10 +153,10 @@
         endpoint = attempt.endpoint
         fingerprint = attempt_fingerprint(attempt)
         early = may_be_cause(
-            ran_for=attempt.ran_for,
+            attempt_age=attempt.attempt_age,
             predicted=predicted,
             head_received=attempt.head_received,
-            response_age=attempt.begun_for,
+            response_age=attempt.response_age,
         )
         self.timeline.note(
             EventKind.SERVER_ENDED,
@@ -164,19 +166,19 @@
             caller=caller,
             path=outgoing.uri.decode("latin-1"),
             body=digest_of((outgoing.body,))[:8],
-            ran_ms=int(attempt.ran_for * 1000),
+            ran_ms=int(attempt.attempt_age * 1000),
             events=attempt.events,
             early=early,
         )
         if early:
-            self.sharing.server_ended(
+            self.sharing.record_server_crash(
                 fingerprint,
                 caller,
                 self.registry.current_instance(endpoint.key),
                 sent_by,
             )
-        elif attempt.begun_for is not NOTHING:
-            self.sharing.ran_well(fingerprint, caller)
+        elif attempt.response_age is not NOTHING:
+            self.sharing.record_completion(fingerprint, caller)
 
 
 def attempt_fingerprint(attempt):
@@ -193,9 +195,9 @@
 
 def shows_success(attempt):
     """Return whether an attempt shows that its server can run the request."""
-    if attempt.finding is AttemptResult.ANSWERED:
+    if attempt.result is AttemptResult.ANSWERED:
         return True
     return (
-        attempt.begun_for is not NOTHING
-        and attempt.begun_for > EARLY_RESPONSE_SECONDS
+        attempt.response_age is not NOTHING
+        and attempt.response_age > EARLY_RESPONSE_SECONDS
     )
--- a/src/hyssopspring/entry/crashsharing.py
+++ b/src/hyssopspring/entry/crashsharing.py
@@ -35,25 +35,32 @@
         datagrams: The `DatagramEndpoint`.
         clock: The clock of the reactor.
         timeline: The `Timeline`.
-        far_contacts: Called for the hosts of other regions to notify; empty
+        remote_contacts: Called for the hosts of other regions to notify; empty
             if this host does not place.
         save: Called with a `Suspect` to write to the store.
     """
 
     def __init__(
-        self, crashes, members, datagrams, clock, timeline, far_contacts, save
+        self,
+        crashes,
+        members,
+        datagrams,
+        clock,
+        timeline,
+        remote_contacts,
+        save,
     ):
         self.crashes = crashes
         self.members = members
         self.datagrams = datagrams
         self.clock = clock
         self.timeline = timeline
-        self.far_contacts = far_contacts
+        self.remote_contacts = remote_contacts
         self.save = save
         self.comparison = DigestComparison(clock)
         self.expire_due = 0.0
 
-    def server_ended(self, fingerprint, caller, server, peer_ip=""):
+    def record_server_crash(self, fingerprint, caller, server, peer_ip=""):
         """Record that a server crashed as a request of this host began on it.
 
         Args:
@@ -75,7 +82,7 @@
         if suspect.shared_with_all:
             self.save(suspect)
 
-    def ran_well(self, fingerprint, caller):
+    def record_completion(self, fingerprint, caller):
         """Record that a request of a caller has succeeded on a server."""
         now = self.clock.seconds()
         if self.crashes.record_success(fingerprint, caller, now):
@@ -124,7 +131,7 @@
             region: Whether to send them to hosts of this region as well.
         """
         message = self.message(suspects, now)
-        self.datagrams.send_all(message, self.far_contacts())
+        self.datagrams.send_all(message, self.remote_contacts())
         if not region:
             return
         if any(one.shared_with_all for one in suspects):
--- a/src/hyssopspring/entry/exchanges.py
+++ b/src/hyssopspring/entry/exchanges.py
@@ -179,11 +179,15 @@
             return refusal
         number, decision = await self.get_placement()
         if self.sink.gone or self.time_left < MIN_ATTEMPT_SECONDS:
-            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
+            self.state.coordinator.record_attempt_end(
+                number, AttemptResult.UNUSED
+            )
             return NotRun(Reason.DEADLINE, CONNECT_RETRY_SECONDS)
         refusal = self.crash_refusal()
         if refusal is not NOTHING:
-            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
+            self.state.coordinator.record_attempt_end(
+                number, AttemptResult.UNUSED
+            )
             return refusal
         if isinstance(decision, Placed):
             return await self.try_server(number, decision)
@@ -341,13 +345,13 @@
             on_head=self.state.notices.head_handler(placed.server_id, self.id),
         )
         outcome = await self.run_attempt(placed.predicted)
-        self.state.coordinator.note_end(number, self.attempt.finding)
+        self.state.coordinator.record_attempt_end(number, self.attempt.result)
         await self.state.crash_detector.examine(
             self.attempt, self.request.peer_ip, placed.predicted
         )
         if not isinstance(outcome, Answered) or outcome.status >= 500:
             self.excluded.append(placed.server_id)
-        if self.attempt.finding is AttemptResult.UNREACHED:
+        if self.attempt.result is AttemptResult.UNREACHED:
             self.state.connections.close_idle(placed.server_id)
         return outcome
 
@@ -360,7 +364,7 @@
         now = self.state.clock.seconds()
         if self.first_data_at is NOTHING:
             self.first_data_at = now
-        self.state.coordinator.note_start(number, now - began)
+        self.state.coordinator.record_response_start(number, now - began)
 
     async def try_region(self, away):
         """Make an attempt through a host of another region.
@@ -408,7 +412,7 @@
             self.excluded.append(buffered_response.head.server_id)
         if isinstance(outcome, NotRun):
             self.avoid_region(away.region)
-        if self.attempt.finding is AttemptResult.UNREACHED:
+        if self.attempt.result is AttemptResult.UNREACHED:
             self.state.connections.close_idle(member.name)
         return outcome
 
@@ -596,7 +600,9 @@
             self.next_placement = (number, decision)
             silent.abandon(Reason.CONNECTION_LOST, silent=True)
         else:
-            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
+            self.state.coordinator.record_attempt_end(
+                number, AttemptResult.UNUSED
+            )
 
     def silence_limit(self):
         """Return the seconds after which the server counts as silent."""
--- a/src/hyssopspring/entry/limiting.py
+++ b/src/hyssopspring/entry/limiting.py
@@ -136,13 +136,13 @@
         keeper: The `ConfigurationKeeper`.
         members: The `Members`.
         datagrams: The `DatagramEndpoint`.
-        clock: Callable that returns the seconds of a clock that also
+        boot_clock: Callable that returns the seconds of a clock that also
             advances while the host is suspended.
-        runtime: The clock of the reactor, which times the heartbeats of
+        clock: The clock of the reactor, which times the heartbeats of
             hosts.
         rng: Random number generator.
         placement_share: The `PlacementShare`.
-        far_hosts: Called for the hosts of other regions to ask for tokens.
+        remote_hosts: Called for the hosts of other regions to ask for tokens.
     """
 
     def __init__(
@@ -151,21 +151,21 @@
         keeper,
         members,
         datagrams,
+        boot_clock,
         clock,
-        runtime,
         rng,
         placement_share,
-        far_hosts,
+        remote_hosts,
     ):
         self.limits = limits
         self.keeper = keeper
         self.members = members
         self.datagrams = datagrams
+        self.boot_clock = boot_clock
         self.clock = clock
-        self.runtime = runtime
         self.rng = rng
         self.placement_share = placement_share
-        self.far_hosts = far_hosts
+        self.remote_hosts = remote_hosts
         self.version = 0
         self.names_by_id = {}
 
@@ -189,7 +189,7 @@
             return decide()
         key = (ask.host, ask.number)
         shortage = self.limits.take(
-            ask.workspace, limit, ask.cost, self.clock(), key
+            ask.workspace, limit, ask.cost, self.boot_clock(), key
         )
         if shortage is not NOTHING:
             return self.limited_decision(shortage)
@@ -212,9 +212,9 @@
             int(shortage.demand),
         )
 
-    def note_end(self, host, number, finding):
+    def record_attempt_end(self, host, number, result):
         """Refund the tokens of a request that has not run."""
-        if finding in NOT_RUN:
+        if result in NOT_RUN:
             self.limits.give_back((host, number))
         else:
             self.limits.forget_charge((host, number))
@@ -223,7 +223,7 @@
         """Request missing tokens from other regions if this host places."""
         if not self.keeper.current or not self.keeper.current.workspaces:
             return
-        now = self.clock()
+        now = self.boot_clock()
         self.limits.settle_all(self.limit_of, now)
         if not self.is_first():
             return
@@ -242,13 +242,13 @@
 
     def is_first(self):
         """Return whether this host is the first placing host of its region."""
-        placers = self.members.placers(self.runtime.seconds())
+        placers = self.members.placers(self.clock.seconds())
         return placers[0] is self.members.own
 
     def transfer_sources(self):
         """Return the host to ask for tokens in each other region."""
         found = {}
-        for member in self.far_hosts():
+        for member in self.remote_hosts():
             found.setdefault(member.region, member)
         return list(found.values())
 
@@ -267,7 +267,7 @@
         member = self.members.others.get(message.host)
         if member is None or not self.is_first():
             return
-        now = self.clock()
+        now = self.boot_clock()
         rows = []
         for identifier, wanted in message.rows:
             name = self.workspace_names().get(identifier, "")
@@ -286,7 +286,7 @@
 
     def handle_transfer(self, message):
         """Add the tokens that another region has transferred."""
-        now = self.clock()
+        now = self.boot_clock()
         for identifier, tokens in message.rows:
             name = self.workspace_names().get(identifier, "")
             limit = self.limit_of(name)
--- a/src/hyssopspring/entry/membership.py
+++ b/src/hyssopspring/entry/membership.py
@@ -438,7 +438,7 @@
 
     def handle_attempt_started(self, message):
         """Record the first event of another host's request."""
-        self.placer.note_start(
+        self.placer.record_response_start(
             message.host,
             message.number,
             message.seconds,
@@ -451,7 +451,7 @@
             message.host,
             message.number,
             message.server_id,
-            AttemptResult(message.finding),
+            AttemptResult(message.result),
         )
 
     def handle_load_report(self, message):
--- a/src/hyssopspring/entry/messages.py
+++ b/src/hyssopspring/entry/messages.py
@@ -222,13 +222,13 @@
         host: Host that made the attempt.
         number: Number of the request at that host.
         server_id: Identifier of the server.
-        finding: Number of the `AttemptResult`.
+        result: Number of the `AttemptResult`.
     """
 
     host: str
     number: int
     server_id: str
-    finding: int
+    result: int
 
 
 class PlacementRow(msgspec.Struct, array_like=True, frozen=True):
--- a/src/hyssopspring/entry/notices.py
+++ b/src/hyssopspring/entry/notices.py
@@ -39,7 +39,7 @@
 
     Args:
         limits: The `ServerLimits`.
-        rests: The `RetryAfterPauses`.
+        retry_after_pauses: The `RetryAfterPauses`.
         registry: The `Registry`.
         members: The `Members`.
         datagrams: The `DatagramEndpoint`.
@@ -52,7 +52,7 @@
     def __init__(
         self,
         limits,
-        rests,
+        retry_after_pauses,
         registry,
         members,
         datagrams,
@@ -62,7 +62,7 @@
         broadcast,
     ):
         self.limits = limits
-        self.rests = rests
+        self.retry_after_pauses = retry_after_pauses
         self.registry = registry
         self.members = members
         self.datagrams = datagrams
@@ -111,7 +111,9 @@
             self.log_ignored(server_id, request, "rest")
             return
         now = self.clock.seconds()
-        if seconds and self.rests.record(server_id, request, seconds, now):
+        if seconds and self.retry_after_pauses.record(
+            server_id, request, seconds, now
+        ):
             self.timeline.note(
                 EventKind.SERVER_RESTING,
                 server=server_id,
--- a/src/hyssopspring/entry/process.py
+++ b/src/hyssopspring/entry/process.py
@@ -130,7 +130,7 @@
         self.crashes = CrashTracker()
         self.members = Members(own_member(settings, int(wall() * 1000)))
         placement_share = PlacementShare(self.members, self.reactor)
-        self.rests = RetryAfterPauses(self.registry, self.rng)
+        self.retry_after_pauses = RetryAfterPauses(self.registry, self.rng)
         self.server_limits = ServerLimits(placement_share.share, self.rng)
         self.placer = Placer(
             settings.region,
@@ -177,7 +177,7 @@
             boot_clock,
             self.timeline,
             self.limiter,
-            self.rests,
+            self.retry_after_pauses,
             self.run_guarded,
         )
         connections = Connections(self.reactor, settings.address)
@@ -224,7 +224,7 @@
             sharing=sharing,
             notices=ServerNotices(
                 self.server_limits,
-                self.rests,
+                self.retry_after_pauses,
                 self.registry,
                 self.members,
                 self.datagrams,
@@ -405,7 +405,7 @@
             "questions_left_out_total": self.coordinator.queries_dropped,
             "requests_suspected": len(self.crashes.suspects),
             "servers_leaving_by_answer": self.registry.leaving_by_answer(),
-            "servers_at_rest": self.rests.count_blocked(now),
+            "servers_at_rest": self.retry_after_pauses.count_blocked(now),
             "servers_limited": self.server_limits.count_limited(now),
             "requests_placed": len(self.placer.placements),
             "hosts_live": len(self.members.live(now)),
--- a/src/hyssopspring/entry/relaying.py
+++ b/src/hyssopspring/entry/relaying.py
@@ -267,7 +267,9 @@
             **notice_details(decision),
         )
         if self.sink.gone or self.refuse_if_crashing():
-            self.state.coordinator.note_end(number, AttemptResult.UNUSED)
+            self.state.coordinator.record_attempt_end(
+                number, AttemptResult.UNUSED
+            )
             return
         outcome = await self.run_attempt(number, decision, metadata)
         self.conclude(outcome)
@@ -328,13 +330,13 @@
             self.state.codec.read_head,
             self.state.clock,
             on_stream=self.open_stream,
-            on_first_data=lambda: self.state.coordinator.note_start(
+            on_first_data=lambda: self.state.coordinator.record_response_start(
                 number, self.state.clock.seconds() - began
             ),
             on_head=self.state.notices.head_handler(placed.server_id, self.id),
         )
         outcome = await self.attempt.run()
-        self.state.coordinator.note_end(number, self.attempt.finding)
+        self.state.coordinator.record_attempt_end(number, self.attempt.result)
         await self.state.crash_detector.examine(
             self.attempt,
             self.parameters.caller,
--- a/src/hyssopspring/net/crashes.py
+++ b/src/hyssopspring/net/crashes.py
@@ -196,7 +196,7 @@
         if first_at is not NOTHING:
             begun_for = now - first_at
         self.early = may_be_cause(
-            ran_for=now - began,
+            attempt_age=now - began,
             predicted=predicted,
             head_received=headed,
             response_age=begun_for,
--- a/src/hyssopspring/traffic/crashes.py
+++ b/src/hyssopspring/traffic/crashes.py
@@ -136,14 +136,14 @@
         return len(self.callers) > 1 or caller in self.callers
 
 
-def may_be_cause(*, ran_for, predicted, head_received, response_age):
+def may_be_cause(*, attempt_age, predicted, head_received, response_age):
     """Whether a request may be the cause of its server's crash.
 
     A response head without a body shows that the server had just started to
     run the request, however long the request had waited there.
 
     Args:
-        ran_for: Seconds since the request was sent.
+        attempt_age: Seconds since the request was sent.
         predicted: Predicted seconds until the start of the response.
         head_received: Whether the head of the response was received.
         response_age: Seconds since the first part of the response body
@@ -151,7 +151,7 @@
     """
     if response_age is not NOTHING:
         return response_age <= EARLY_RESPONSE_SECONDS
-    return head_received or ran_for <= predicted + MAX_EXTRA_WAIT_SECONDS
+    return head_received or attempt_age <= predicted + MAX_EXTRA_WAIT_SECONDS
 
 
 class CrashTracker:
--- a/src/hyssopspring/traffic/placing.py
+++ b/src/hyssopspring/traffic/placing.py
@@ -82,12 +82,12 @@
     Attributes:
         server: The `Server`.
         work: The model of its work in progress.
-        evidence: The `ServerHealth` on its health.
+        health: Its `ServerHealth`.
     """
 
     server: object
     work: object
-    evidence: object
+    health: object
 
 
 @dataclass(frozen=True, slots=True)
@@ -155,7 +155,7 @@
         self.prefill_times = {}
         self.decode_times = {}
         self.margins = {}
-        self.evidence = {}
+        self.health = {}
         self.views = {}
         self.placements = {}
         self.placements_by_host = {}
@@ -287,7 +287,7 @@
         if holder is not NOTHING:
             pairs.insert(0, (holder, most_cached))
         for view, tokens in pairs:
-            errors = view.evidence.error_rate * weight
+            errors = view.health.error_rate * weight
             limit = best.cost - errors
             estimate = view.work.estimate(request, tokens, limit)
             if estimate is NOTHING or estimate.cost >= limit:
@@ -308,7 +308,7 @@
         return [
             view
             for view in self.views_of(query.service, now)
-            if now >= view.evidence.paused_until
+            if now >= view.health.paused_until
             and view.server.entry.id not in query.excluded
             and not (
                 now < view.server.cold_until
@@ -339,7 +339,7 @@
                 ServerView(
                     server,
                     self.work_of(server),
-                    self.evidence_of(server.entry.id),
+                    self.health_of(server.entry.id),
                 )
                 for server in servers
             ]
@@ -428,7 +428,7 @@
         return [
             view.server.entry.id
             for view in self.views_of(query.service, now)
-            if view.evidence.is_available(now)
+            if view.health.is_available(now)
             and view.server.entry.id not in query.excluded
             and not self.limits.can_send(view.server.entry.id, now)
         ]
@@ -468,7 +468,7 @@
         work.begin(placement, query.demand)
         self.cold_rates.count(entry.id, now)
         self.limits.consume(entry.id, now)
-        self.evidence_of(entry.id).begin_trial(now)
+        self.health_of(entry.id).begin_trial(now)
         cold = server.usability(now) is Usability.COLD
         source = candidate.copy_from if candidate.copied else ""
         evidence = self.limits.describe(entry.id, now)
@@ -482,7 +482,7 @@
             evidence,
         )
 
-    def note_start(self, host, number, seconds, now):
+    def record_response_start(self, host, number, seconds, now):
         """Record a first event or the response head of an attempt."""
         placement = self.placements.get((host, number))
         if placement is None or placement.started:
@@ -494,22 +494,22 @@
             margin.learn(placement.predicted, seconds)
         if work is not None:
             work.start(placement, seconds, now)
-            self.evidence_of(placement.server_id).record_answer(now)
+            self.health_of(placement.server_id).record_answer(now)
 
-    def note_end(self, host, number, server_id, finding, now):
+    def record_attempt_end(self, host, number, server_id, result, now):
         """Record the end of an attempt.
 
         Returns:
             Whether its server has become suspect through this attempt.
         """
         placed_here = self.drop(
-            host, number, now, complete=finding is AttemptResult.ANSWERED
+            host, number, now, complete=result is AttemptResult.ANSWERED
         )
-        if placed_here and finding in NOT_SENT:
+        if placed_here and result in NOT_SENT:
             self.limits.refund(server_id)
         if server_id not in self.registry.servers:
             return False
-        return self.evidence_of(server_id).record_result(finding, now)
+        return self.health_of(server_id).record_result(result, now)
 
     def drop(self, host, number, now, *, complete=False):
         """Remove one placement.
@@ -589,7 +589,7 @@
             if placement.server_id == server_id:
                 self.drop(*key, now)
         self.work.pop(server_id, None)
-        self.evidence.pop(server_id, None)
+        self.health.pop(server_id, None)
         self.views.clear()
         self.cold_rates.forget(server_id)
         self.limits.forget(server_id)
@@ -636,7 +636,7 @@
         server_id = server.entry.id
         if self.registry.usability(server_id, now) is not Usability.READY:
             return False
-        return self.evidence_of(server_id).is_available(now)
+        return self.health_of(server_id).is_available(now)
 
     def apply_load_report(self, region, loads, now):
         """Apply the load report of another region."""
@@ -682,12 +682,12 @@
         """Return the `DecodeTimes` of a service."""
         return self.decode_times.setdefault(service, DecodeTimes())
 
-    def evidence_of(self, server_id):
+    def health_of(self, server_id):
         """Return the `ServerHealth` on a server."""
-        evidence = self.evidence.get(server_id)
-        if evidence is None:
-            evidence = self.evidence[server_id] = ServerHealth()
-        return evidence
+        health = self.health.get(server_id)
+        if health is None:
+            health = self.health[server_id] = ServerHealth()
+        return health
 
 
 def highest_capacity(capacities):
@@ -703,7 +703,7 @@
 
 def has_unanswered_limit(view):
     """Return whether a server has its maximum of requests before an answer."""
-    if view.evidence.has_answered:
+    if view.health.has_answered:
         return False
     waiting = sum(not one.started for one in view.work.placements.values())
     return waiting >= MAX_UNANSWERED_REQUESTS
--- a/src/hyssopspring/traffic/retryafter.py
+++ b/src/hyssopspring/traffic/retryafter.py
@@ -6,7 +6,7 @@
 
 __all__ = ["RetryAfterPause", "RetryAfterPauses"]
 
-MAX_PAUSE_SECONDS = 60.0
+MAX_RETRY_AFTER_PAUSE_SECONDS = 60.0
 """Longest pause that is applied, in seconds. With one request a minute, the
 host finds out whether a server that requested a longer pause accepts requests
 again."""
@@ -84,7 +84,7 @@
         Returns:
             Whether the server was not paused before.
         """
-        until = now + min(seconds, MAX_PAUSE_SECONDS)
+        until = now + min(seconds, MAX_RETRY_AFTER_PAUSE_SECONDS)
         active = self.pause_of(server_id, now)
         if active is not NOTHING and now < active.until:
             active.until = max(active.until, until)
--- a/src/hyssopspring/traffic/serverhealth.py
+++ b/src/hyssopspring/traffic/serverhealth.py
@@ -9,7 +9,7 @@
 """Seconds without requests after a first failure to reach a server; about the
 time that a process takes to restart."""
 
-MAX_PAUSE_SECONDS = 4.0
+MAX_FAILURE_PAUSE_SECONDS = 4.0
 """Longest pause in seconds, and so the longest wait of a server that is up
 again for its next trial request."""
 
@@ -121,7 +121,7 @@
             Whether this is the first failure.
         """
         pause = min(
-            MAX_PAUSE_SECONDS, INITIAL_PAUSE_SECONDS * 2**self.failures
+            MAX_FAILURE_PAUSE_SECONDS, INITIAL_PAUSE_SECONDS * 2**self.failures
         )
         self.paused_until = max(self.paused_until, now + pause)
         self.failures += 1
--- a/src/hyssopspring_fakes/crashload.py
+++ b/src/hyssopspring_fakes/crashload.py
@@ -283,7 +283,7 @@
         if trial.begun_at is not NOTHING and not trial.bad:
             begun = now - trial.begun_at
         early = may_be_cause(
-            ran_for=now - trial.sent_at,
+            attempt_age=now - trial.sent_at,
             predicted=trial.predicted,
             head_received=trial.begun_at is not NOTHING,
             response_age=begun,
@@ -292,7 +292,7 @@
             end = ServerCrash(name, now, region, trial.caller)
             self.note_end(trial.name, end, region, now)
         self.at_engine.pop(load.number, None)
-        self.placers[region].note_end(
+        self.placers[region].record_attempt_end(
             "h", load.number, name, AttemptResult.ERROR, now
         )
         self.send_again(trial, now)
--- a/src/hyssopspring_fakes/emulation.py
+++ b/src/hyssopspring_fakes/emulation.py
@@ -577,7 +577,7 @@
             load.first_at = now + load.delay
             if load.number in self.at_engine:
                 region, sent = self.at_engine[load.number]
-                self.placers[region].note_start(
+                self.placers[region].record_response_start(
                     "h", load.number, now - sent, now
                 )
         for load in engine.ended:
@@ -586,13 +586,13 @@
             if load.number in self.at_engine:
                 region, _ = self.at_engine.pop(load.number)
                 whole = load.left_out <= 0
-                finding = (
+                result = (
                     AttemptResult.ANSWERED
                     if whole
                     else AttemptResult.CANCELLED
                 )
-                self.placers[region].note_end(
-                    "h", load.number, engine.name, finding, now
+                self.placers[region].record_attempt_end(
+                    "h", load.number, engine.name, result, now
                 )
         engine.started.clear()
         engine.ended.clear()
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -147,10 +147,10 @@
     key = rng.choice(list(placer.placements))
     placement = placer.placements[key]
     if not placement.started and rng.random() < 0.7:
-        placer.note_start(*key, now - placement.placed_at, now)
+        placer.record_response_start(*key, now - placement.placed_at, now)
     else:
-        finding = rng.choice((AttemptResult.ANSWERED, AttemptResult.CANCELLED))
-        placer.note_end(*key, placement.server_id, finding, now)
+        result = rng.choice((AttemptResult.ANSWERED, AttemptResult.CANCELLED))
+        placer.record_attempt_end(*key, placement.server_id, result, now)
 
 
 def test_a_service_that_changes_is_looked_at_anew(placer):
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -70,7 +70,7 @@
         """Return the result of *decide*."""
         return decide()
 
-    def note_end(self, host, number, finding):
+    def record_attempt_end(self, host, number, result):
         """Do nothing."""
 
 
--- a/tests/test_crashdetection.py
+++ b/tests/test_crashdetection.py
@@ -27,18 +27,18 @@
     """An attempt whose server ended the response early.
 
     Attributes:
-        ran_for: Seconds since it was sent.
+        attempt_age: Seconds since it was sent.
         head_received: Whether the head of its response had arrived.
-        begun_for: Seconds since the first response data, or `NOTHING`.
+        response_age: Seconds since the first response data, or `NOTHING`.
     """
 
-    ran_for: float = 0.1
+    attempt_age: float = 0.1
     head_received: bool = False
-    begun_for: object = NOTHING
+    response_age: object = NOTHING
     endpoint: Endpoint = ENDPOINT
     broken_by_peer: bool = True
     events: int = 0
-    finding: AttemptResult = AttemptResult.ERROR
+    result: AttemptResult = AttemptResult.ERROR
     outgoing: OutgoingRequest = field(
         default_factory=lambda: OutgoingRequest(
             id=b"r",
@@ -75,11 +75,11 @@
         """Return that some request is suspected."""
         return True
 
-    def server_ended(self, fingerprint, caller, server, sent_by):
+    def record_server_crash(self, fingerprint, caller, server, sent_by):
         """Record a crash."""
         self.recorded.append(f"crashed {server}")
 
-    def ran_well(self, fingerprint, caller):
+    def record_completion(self, fingerprint, caller):
         """Record that the request ran well."""
         self.recorded.append("ran well")
 
@@ -136,7 +136,7 @@
     crashes server after server would never be blocked.
     """
     harness.probes.refused = [True]
-    recorded = harness.examine(BrokenAttempt(ran_for=3.0))
+    recorded = harness.examine(BrokenAttempt(attempt_age=3.0))
     assert_that(recorded, Equals([]))
 
 
@@ -146,10 +146,12 @@
     Only data after the head shows that the server is able to run it.
     """
     harness.probes.refused = [True]
-    recorded = harness.examine(BrokenAttempt(ran_for=3.0, head_received=True))
+    recorded = harness.examine(
+        BrokenAttempt(attempt_age=3.0, head_received=True)
+    )
     assert_that(recorded, Equals(["crashed s"]))
     recorded = harness.examine(
-        BrokenAttempt(ran_for=3.0, head_received=True, begun_for=0.7)
+        BrokenAttempt(attempt_age=3.0, head_received=True, response_age=0.7)
     )
     assert_that(recorded, Equals(["crashed s", "ran well"]))
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ran_for", "head_received", "response_age", "early"),
+    ("attempt_age", "head_received", "response_age", "early"),
     [
         (0.1, False, NOTHING, True),
         (0.2 + MAX_EXTRA_WAIT_SECONDS + 0.1, False, NOTHING, False),
@@ -181,11 +181,11 @@
     ],
 )
 def test_what_has_run_for_a_while_is_not_the_cause(
-    ran_for, head_received, response_age, early
+    attempt_age, head_received, response_age, early
 ):
     """Guards against blocking a stream whose servers were stopped midway."""
     found = may_be_cause(
-        ran_for=ran_for,
+        attempt_age=attempt_age,
         predicted=0.2,
         head_received=head_received,
         response_age=response_age,
--- a/tests/test_crashsharing.py
+++ b/tests/test_crashsharing.py
@@ -35,7 +35,7 @@
 def end_servers(network, names, *, interval=0.1, fingerprint=FINGERPRINT):
     """Crash a server under a request at each host of *names*."""
     for number, name in enumerate(names):
-        network.hosts[name].sharing.server_ended(
+        network.hosts[name].sharing.record_server_crash(
             fingerprint, "c", f"server-{name}-{number}"
         )
         network.run(interval)
@@ -71,7 +71,7 @@
         for name, host in network.hosts.items()
     )
     for number in range(60):
-        network.hosts["north-3"].sharing.server_ended(
+        network.hosts["north-3"].sharing.record_server_crash(
             f"{number:032}", "c", "s"
         )
     network.run(1.0)
@@ -140,7 +140,7 @@
     end_servers(network, ["north-3", "south-5"])
     network.run(1.0)
     assert_that(verdicts(network), Equals({Verdict.ISOLATED}))
-    network.hosts["west-8"].sharing.ran_well(FINGERPRINT, "c")
+    network.hosts["west-8"].sharing.record_completion(FINGERPRINT, "c")
     network.run(PROPAGATION_SECONDS)
     assert_that(verdicts(network), Equals({Verdict.ALLOWED}))
 
@@ -180,13 +180,15 @@
     each of which sends them to three hosts there.
     """
     for number in range(60):
-        network.hosts["north-3"].sharing.server_ended(
+        network.hosts["north-3"].sharing.record_server_crash(
             f"{number:032}", "c", "s"
         )
     network.run(1.0)
     count_since = count_suspects(network)
     for number in range(60):
-        network.hosts["north-3"].sharing.ran_well(f"{number:032}", "c")
+        network.hosts["north-3"].sharing.record_completion(
+            f"{number:032}", "c"
+        )
     network.run(1.0)
     few = 3 + 2 * 3 + 2 * 3 * 3
     assert_that(count_since(), LessThan(60 * (few + 1)))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -496,7 +496,7 @@
     other = names[1 - names.index(placer)]
     for process in hosts.processes.values():
         for name in ("plain-north", "plain-south"):
-            process.placer.evidence_of(name).paused_until = now + 30
+            process.placer.health_of(name).paused_until = now + 30
     status, _, _ = await hosts.send(other, "/lookup/a", identifier="r1")
     assert_that(status, Equals(503))
     ends = []
@@ -526,8 +526,8 @@
     begun = hosts.begin("h-north", "/review/a", "r1", b"POST", b"", USAGE)
     begun.addErrback(lambda _: None)
     await task.deferLater(reactor, 1.2, begun.cancel)
-    evidence = hosts.processes["h-north"].placer.evidence_of("engine-north")
-    await hosts.until(lambda: not evidence.open(reactor.seconds()))
+    health = hosts.processes["h-north"].placer.health_of("engine-north")
+    await hosts.until(lambda: not health.is_available(reactor.seconds()))
     status, _, body = await hosts.send(
         "h-north", "/review/b", identifier="r2", method=b"POST", **USAGE
     )
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -105,7 +105,7 @@
     prefilled them.
     """
     first = placer.place(make_query(), 0.0)
-    placer.note_start("h1", 1, 0.3, 0.3)
+    placer.record_response_start("h1", 1, 0.3, 0.3)
     second = placer.place(make_query(), 0.5)
     assert_that(second.server_id, Equals(first.server_id))
     assert second.predicted < first.predicted / 2
@@ -274,7 +274,7 @@
     placer, make_query
 ):
     """Guard against many requests losing time at an unreachable server."""
-    placer.note_end("h1", 0, "p1", AttemptResult.UNREACHED, 0.0)
+    placer.record_attempt_end("h1", 0, "p1", AttemptResult.UNREACHED, 0.0)
     early = {
         placer.place(make_query("plain"), 0.1).server_id for _ in range(5)
     }
@@ -293,12 +293,12 @@
     """
     placer.place(make_query("plain"), 0.0)
     placement = next(iter(placer.placements.values()))
-    placer.note_start("h1", placement.number, 0.05, 0.4)
+    placer.record_response_start("h1", placement.number, 0.05, 0.4)
     server = placement.server_id
-    placer.note_end("h1", 999, server, AttemptResult.SILENT, 0.5)
-    assert placer.evidence_of(server).is_available(0.6)
-    placer.note_end("h1", 999, server, AttemptResult.SILENT, 5.0)
-    assert not placer.evidence_of(server).is_available(5.1)
+    placer.record_attempt_end("h1", 999, server, AttemptResult.SILENT, 0.5)
+    assert placer.health_of(server).is_available(0.6)
+    placer.record_attempt_end("h1", 999, server, AttemptResult.SILENT, 5.0)
+    assert not placer.health_of(server).is_available(5.1)
 
 
 def test_memory_of_an_engine_is_not_overfilled(placer, make_query):
@@ -351,16 +351,20 @@
     cost. The failures of the former process must not count either.
     """
     first = placer.place(make_query(), 0.0)
-    placer.note_end("h1", 99, first.server_id, AttemptResult.UNREACHED, 0.1)
+    placer.record_attempt_end(
+        "h1", 99, first.server_id, AttemptResult.UNREACHED, 0.1
+    )
     placer.forget_server(first.server_id, 0.2)
     server = placer.registry.servers[first.server_id]
     work = placer.work_of(server)
     assert_that(work.cached_prefix_tokens(REVIEW), Equals(0))
     assert_that(work.placements, Equals({}))
     assert_that(placer.placements, Equals({}))
-    assert placer.evidence_of(first.server_id).is_available(0.2)
-    placer.note_start("h1", 1, 0.3, 0.3)
-    placer.note_end("h1", 1, first.server_id, AttemptResult.ANSWERED, 0.4)
+    assert placer.health_of(first.server_id).is_available(0.2)
+    placer.record_response_start("h1", 1, 0.3, 0.3)
+    placer.record_attempt_end(
+        "h1", 1, first.server_id, AttemptResult.ANSWERED, 0.4
+    )
 
 
 def test_a_prompt_goes_to_the_region_that_has_read_its_parts(
@@ -477,8 +481,12 @@
     for number in range(1, 9):
         placer.place(make_query(), number * 0.1)
         if number % 2:
-            placer.note_end("h1", number, "e1", AttemptResult.ANSWERED, 1.0)
-            placer.note_end("h1", number, "e1", AttemptResult.ANSWERED, 1.0)
+            placer.record_attempt_end(
+                "h1", number, "e1", AttemptResult.ANSWERED, 1.0
+            )
+            placer.record_attempt_end(
+                "h1", number, "e1", AttemptResult.ANSWERED, 1.0
+            )
     placer.retain_placements("h1", {8}, 5.0, older_than=0.7)
     for work in placer.work.values():
         tokens = sum(
--- a/tests/test_retryafter.py
+++ b/tests/test_retryafter.py
@@ -14,7 +14,7 @@
 from hyssopspring.platform.headers import read_head
 from hyssopspring.records import cause_of, read_records
 from hyssopspring.traffic.retryafter import (
-    MAX_PAUSE_SECONDS,
+    MAX_RETRY_AFTER_PAUSE_SECONDS,
     SPREAD_SECONDS,
     RetryAfterPauses,
 )
@@ -181,8 +181,14 @@
 def test_the_length_of_a_pause_is_bounded(pauses):
     """Guards against a faulty server that requests a pause of an hour."""
     pauses.record("s1", "r1", 3600.0, 0.0)
-    assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS - 1), Equals(True))
-    assert_that(pauses.is_blocked("s1", MAX_PAUSE_SECONDS + 1), Equals(False))
+    assert_that(
+        pauses.is_blocked("s1", MAX_RETRY_AFTER_PAUSE_SECONDS - 1),
+        Equals(True),
+    )
+    assert_that(
+        pauses.is_blocked("s1", MAX_RETRY_AFTER_PAUSE_SECONDS + 1),
+        Equals(False),
+    )
 
 
 def test_the_longer_of_two_pauses_applies(pauses):
--- a/tests/test_serverlimits.py
+++ b/tests/test_serverlimits.py
@@ -300,7 +300,7 @@
         now = 1.0 + number / 20
         for other, at in list(enumerate(sent)):
             if at <= now - 0.6 < at + 0.05:
-                placer.note_start("h", other, 0.6, now)
+                placer.record_response_start("h", other, 0.6, now)
                 placer.limits.apply_notice(notice(1.5, now), now)
         ask = PlacementQuery(
             host="h", number=len(sent), service="plain", patience=9.0
