--- a/src/hyssopspring/net/crashdetection.py
+++ b/src/hyssopspring/net/crashdetection.py
@@ -225,7 +225,7 @@
         if first_body_at is not NOTHING:
             begun_for = now - first_body_at
         self.early = may_be_cause(
-            ran_for=now - started_at,
+            attempt_age=now - started_at,
             predicted=predicted,
             head_received=head_received,
             response_age=begun_for,
